--- a/tests/serving.py
+++ b/tests/serving.py
@@ -76,6 +76,8 @@
     role: str = "entry"
     # What its environment holds beside the test's own.
     variables: dict[str, str] = attrs.field(factory=dict)
+    # Checkout whose code runs; None for the one that runs the test.
+    build: Path | None = None
     process: asyncio.subprocess.Process | None = None
 
     async def start(self) -> None:
@@ -88,6 +90,7 @@
                 "pistachioglade.serving",
                 self.role,
                 env=environment,
+                cwd=self.build,
                 stdout=log,
                 stderr=log,
             )
@@ -179,7 +182,9 @@
         path.write_text("".join(f"{key}={fields[key]}\n" for key in fields))
         return path
 
-    async def add_entry(self, name: str, store_port: int | None = None) -> EntryProcess:
+    async def add_entry(
+        self, name: str, store_port: int | None = None, build: Path | None = None
+    ) -> EntryProcess:
         """Start an entry, by way of another port of the store where one is given."""
         port, ready_port = reserve_port(), reserve_port()
         settings = self.write_settings(
@@ -192,7 +197,13 @@
         )
         log = self.folder / f"{name}.log"
         entry = EntryProcess(
-            name, port, ready_port, settings, log, variables=self.variables
+            name,
+            port,
+            ready_port,
+            settings,
+            log,
+            variables=self.variables,
+            build=build,
         )
         await entry.start()
         self.entries.append(entry)
@@ -200,14 +211,18 @@
         return entry
 
     async def add_engine_program(
-        self, name: str, engine_port: int, store_port: int
+        self,
+        name: str,
+        engine_port: int,
+        store_port: int,
+        build: Path | None = None,
     ) -> EntryProcess:
         """Start the program beside an engine."""
         fields = self.settings_of(name, store_port)
         fields["app"] = f"127.0.0.1:{engine_port}"
         settings = self.write_settings(name, fields)
         log = self.folder / f"{name}.log"
-        program = EntryProcess(name, 0, 0, settings, log, "engine")
+        program = EntryProcess(name, 0, 0, settings, log, "engine", build=build)
         await program.start()
         return program
 
