--- a/pistachioglade/decisions/_checkpoints.py
+++ b/pistachioglade/decisions/_checkpoints.py
@@ -1,8 +1,8 @@
-"""When the texts of unlisted samples are saved to the store.
+"""When partial texts of samples are checkpointed in the store.
 
-The load it answers: samples of up to 200 events run for seven seconds of a step's 7.5,
-and a step waits for its longest ones. What the death of the node that runs them costs
-of such a sample comes on top, and delays the steps behind it.
+Samples of up to 200 events run for seven seconds of a step's 7.5 s, and a step waits
+for its longest samples. When the node that runs such a sample crashes, repeating the
+text since the last checkpoint delays the step and the steps after it.
 """
 
 from __future__ import annotations
@@ -12,37 +12,37 @@
 
 Sample = TypeVar("Sample", bound=Hashable)
 
-#: Least time between two saves of a job, and so what a death costs of a sample at most.
-_LEAST_INTERVAL_S: Final = 0.4
-#: Longest such time.
-_LONGEST_INTERVAL_S: Final = 1.5
-#: Bytes of texts that a job may save in a second: a small part of a small link.
+#: Shortest interval between two checkpoints: the work on a sample that a crash loses.
+_MIN_INTERVAL_S: Final = 0.4
+#: Longest interval between two checkpoints.
+_MAX_INTERVAL_S: Final = 1.5
+#: Rate of checkpoint writes, in bytes per second: a small fraction of a small link.
 _BYTES_PER_S: Final = 800_000
-#: Events by which the samples of a save have to differ from the last one, together;
-#: fewer are made again in the time of a save.
-_LEAST_CHANGED_EVENTS: Final = 6
-#: Events that a sample must have to be saved: a shorter text is made again within a
-#: second, long before the step's longest sample has gone on to its end.
+#: Total events by which the samples must differ from the last checkpoint. Fewer events
+#: are repeated in the time that a checkpoint takes.
+_MIN_CHANGED_EVENTS: Final = 6
+#: Events that a sample needs to be checkpointed. A shorter text is repeated within a
+#: second, long before the step's longest sample ends.
 LEAST_SAVED_EVENTS: Final = 24
 
 
 def save_interval_s(last_bytes: int) -> float:
-    """Return the time to the next save after one of so many bytes."""
+    """Return the time to the next checkpoint after a checkpoint of ``last_bytes``."""
     wanted_s = last_bytes / _BYTES_PER_S
-    return min(_LONGEST_INTERVAL_S, max(_LEAST_INTERVAL_S, wanted_s))
+    return min(_MAX_INTERVAL_S, max(_MIN_INTERVAL_S, wanted_s))
 
 
 def should_save(
     saved_events: Mapping[Sample, int], events: Mapping[Sample, int]
 ) -> bool:
-    """Return whether texts differ enough from those of the last save.
+    """Return whether texts differ enough from those of the last checkpoint.
 
-    Both map each sample to the events of its text. Samples count one by one: the sum
-    over a full object stays the same while all its texts grow and the shorter ones no
-    longer fit.
+    Both arguments map each sample to the number of events of its text. The differences
+    are summed sample by sample: the total number of events in a full object stays the
+    same while its texts grow and the shorter texts stop fitting.
     """
     changed = sum(
         abs(events.get(sample, 0) - saved_events.get(sample, 0))
         for sample in saved_events.keys() | events.keys()
     )
-    return changed >= _LEAST_CHANGED_EVENTS
+    return changed >= _MIN_CHANGED_EVENTS
--- a/pistachioglade/decisions/_fairness.py
+++ b/pistachioglade/decisions/_fairness.py
@@ -1,12 +1,12 @@
 """Division of an agent's rollout slots between trainers.
 
-Virtual token counters (VTC, "Fairness in Serving Large Language Models"):
-each trainer has a counter of tokens made for it, divided by its share; a free
-slot goes to the waiting trainer with the lowest counter. A rollout is charged its
-expected tokens when it starts and settled when it ends, so that slots that come
-free together don't all go to one trainer. A trainer that comes
-back from idle is lifted to the lowest counter among those that wait, so that
-idleness earns no credit and a flood earns no debt.
+Virtual token counters (VTC, "Fairness in Serving Large Language Models"): each trainer
+has a counter of the tokens generated for it, divided by its share; a free slot goes to
+the waiting trainer with the lowest counter. A rollout is charged its expected tokens
+when it starts and adjusted to its actual tokens when it ends, so that slots that become
+free together don't all go to one trainer. The counter of a trainer that becomes active
+again is raised to the lowest counter among the active trainers, so that an idle trainer
+earns no credit and a flood of rollouts earns no debt.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from itertools import chain
 from typing import Final, Generic, TypeVar
 
-#: Weight of the newest rollout in the running mean of a trainer's tokens.
+#: Weight of the newest rollout in the moving average of a trainer's tokens.
 _SMOOTHING: Final = 0.1
 
 T = TypeVar("T")
 
 
 class FairQueue(Generic[T]):
-    """Waiting rollouts, by trainer."""
+    """Queues waiting rollouts by trainer and chooses the next by fair shares."""
 
     def __init__(self, shares: Mapping[str, int]) -> None:
         self._shares = dict(shares)
@@ -33,34 +33,34 @@
         self._mean_tokens: dict[str, float] = {}
 
     def set_shares(self, shares: Mapping[str, int]) -> None:
-        """Replace the shares; counters go on."""
+        """Replace the shares and keep the counters."""
         self._shares = dict(shares)
 
     def __len__(self) -> int:
         return sum(len(queue) for queue in self._waiting.values())
 
     def waiting_of(self, trainer: str) -> int:
-        """Return how many rollouts of a trainer wait."""
+        """Return the number of waiting rollouts of a trainer."""
         return len(self._waiting[trainer])
 
     def counters(self) -> dict[str, float]:
-        """Return a copy of the counters."""
+        """Return a copy of the counters by trainer."""
         return dict(self._counters)
 
     def push(self, trainer: str, item: T) -> None:
         """Add a rollout at the end of its trainer's queue."""
         if not self._is_active(trainer):
-            self._lift(trainer)
+            self._raise_counter(trainer)
         self._waiting[trainer].append(item)
 
     def push_front(self, trainer: str, item: T) -> None:
-        """Put a rollout that lost its slot before the others of its trainer."""
+        """Add a preempted rollout at the front of its trainer's queue."""
         self._waiting[trainer].appendleft(item)
 
     def _is_active(self, trainer: str) -> bool:
         return bool(self._waiting[trainer]) or self._running[trainer] > 0
 
-    def _lift(self, trainer: str) -> None:
+    def _raise_counter(self, trainer: str) -> None:
         active = [
             self._counters[name]
             for name in {*self._waiting, *self._running}
@@ -70,47 +70,47 @@
             self._counters[trainer] = max(self._counters[trainer], min(active))
 
     def backlogged(self) -> list[str]:
-        """Return the trainers with waiting rollouts, the furthest behind first."""
+        """Return the trainers with waiting rollouts, sorted by counter."""
         trainers = [name for name, queue in self._waiting.items() if queue]
         return sorted(trainers, key=lambda name: (self._counters[name], name))
 
     def peek(self, trainer: str) -> T:
-        """Return the next rollout of a trainer that has one."""
+        """Return the next waiting rollout of a trainer."""
         return self._waiting[trainer][0]
 
     def pop(self, trainer: str) -> T:
-        """Start the next rollout of a trainer that has one."""
+        """Remove the next waiting rollout of a trainer and count it as started."""
         item = self._waiting[trainer].popleft()
         self.started(trainer)
         return item
 
     def started(self, trainer: str) -> None:
-        """Count a rollout that starts, with its expected tokens."""
+        """Count a started rollout and charge its expected tokens."""
         self._running[trainer] += 1
-        self._charge(trainer, self._expected(trainer))
+        self._charge(trainer, self._expected_tokens(trainer))
 
     def finished(self, trainer: str, tokens: int) -> None:
-        """Count a rollout's end and settle its tokens."""
-        expected = self._expected(trainer)
+        """Count a finished rollout and adjust the charge to its actual tokens."""
+        expected = self._expected_tokens(trainer)
         self._running[trainer] -= 1
         self._charge(trainer, tokens - expected)
         known = self._mean_tokens.get(trainer, float(tokens))
         self._mean_tokens[trainer] = known + _SMOOTHING * (tokens - known)
-        drift = self._expected(trainer) - expected
+        drift = self._expected_tokens(trainer) - expected
         self._charge(trainer, drift * self._running[trainer])
 
-    def _expected(self, trainer: str) -> float:
+    def _expected_tokens(self, trainer: str) -> float:
         return self._mean_tokens.get(trainer, 0.0)
 
     def _charge(self, trainer: str, tokens: float) -> None:
         share = max(1, self._shares.get(trainer, 1))
         self._counters[trainer] += tokens / share
 
-    def remove_if(self, wanted: Callable[[T], bool]) -> tuple[T, ...]:
-        """Take out every waiting rollout that fits."""
-        removed = tuple(item for item in self if wanted(item))
+    def remove_if(self, is_match: Callable[[T], bool]) -> tuple[T, ...]:
+        """Remove and return every waiting rollout that matches."""
+        removed = tuple(item for item in self if is_match(item))
         for queue in self._waiting.values():
-            kept = [item for item in queue if not wanted(item)]
+            kept = [item for item in queue if not is_match(item)]
             queue.clear()
             queue.extend(kept)
         return removed
--- a/pistachioglade/decisions/_keys.py
+++ b/pistachioglade/decisions/_keys.py
@@ -1,10 +1,9 @@
-"""At most once, without a store: keys are bound to one agent incarnation.
+"""At-most-once execution without a store: keys are bound to one agent incarnation.
 
-A caller opens a ticket, a numbered run of keys. Only the incarnation that gave
-the ticket can run its keys, so a key needs no lease and no agreement: when that
-process is gone, so is every right to run the key. A key that was refused is
-spent: a late copy of the request can't run after its caller was told that it
-did not.
+A caller opens a ticket, a numbered range of keys. Only the incarnation that issued the
+ticket can run its keys, so a key needs no lease and no consensus: after that process
+has ended, no process may run the key. A refused key is spent: a delayed copy of the
+request can't run after its caller has received the answer that the request did not run.
 """
 
 from __future__ import annotations
@@ -17,50 +16,51 @@
 from ..errors import ErrorKind, Refusal, refuse
 from ..messages import CallAnswer, Ticket
 
-#: Most keys in one ticket.
+#: Maximum number of keys in one ticket.
 MAX_TICKET_KEYS: Final = 4096
-#: Most tickets that are remembered; the oldest are dropped, never reused.
+#: Maximum number of tickets that are kept. The oldest idle tickets are dropped; their
+#: numbers are never reused.
 MAX_TICKETS: Final = 20_000
-#: Most answers that are kept for a repeated request.
+#: Maximum number of answers that are kept for repeated requests.
 MAX_KEPT_ANSWERS: Final = 5_000
 
 
 @attrs.frozen
 class Run:
-    """The key is fresh; the caller of the gate has to run the request now."""
+    """The key is unused: the caller of the gate has to run the request now."""
 
 
 @attrs.frozen
 class Attach:
-    """The key is running; wait for the answer of the first try."""
+    """The key's request is running: wait for the answer of the first attempt."""
 
 
 @attrs.frozen
 class Replay:
-    """The key has run; this is its answer."""
+    """The key's request has run: return its kept answer."""
 
-    # The answer that was kept.
+    # Kept answer, marked as replayed.
     answer: CallAnswer
 
 
 @attrs.define
 class _TicketState:
-    # Who opened the ticket.
+    # Caller that opened the ticket.
     caller: str
     # Upstream that the keys are for.
     upstream: str
-    # How many keys it has.
+    # Number of keys in the ticket.
     count: int
-    # Keys that are running.
+    # Keys whose requests are running.
     running: set[int] = attrs.field(factory=set)
-    # Keys that ran, whether or not their answers are still kept.
+    # Keys whose requests ran, also those whose answers have been dropped.
     ran: set[int] = attrs.field(factory=set)
-    # Keys that were refused or lost, with what the caller was told.
+    # Refusals of the keys whose requests were refused or have an unknown outcome.
     closed: dict[int, Refusal] = attrs.field(factory=dict)
 
 
 class KeyGate:
-    """The keys of one agent incarnation."""
+    """Admits each key of one agent incarnation at most once."""
 
     def __init__(self, agent: str, incarnation: int) -> None:
         self._agent = agent
@@ -70,7 +70,7 @@
         self._answers: OrderedDict[tuple[int, int], CallAnswer] = OrderedDict()
 
     def open_ticket(self, caller: str, upstream: str, count: int) -> Ticket | Refusal:
-        """Bind a new run of keys to this incarnation."""
+        """Bind a new range of keys to this incarnation."""
         if not 1 <= count <= MAX_TICKET_KEYS:
             reason = f"a ticket has 1 to {MAX_TICKET_KEYS} keys"
             return refuse(ErrorKind.BAD_REQUEST, reason)
@@ -90,7 +90,7 @@
     def admit(
         self, ticket: Ticket, key: int, caller: str, upstream: str
     ) -> Run | Attach | Replay | Refusal:
-        """Decide what becomes of a request that carries ``key``."""
+        """Return what to do with a request that carries ``key``."""
         if (ticket.agent, ticket.incarnation) != (self._agent, self._incarnation):
             reason = "the process that was bound to this key is gone"
             return refuse(ErrorKind.KEY_HOLDER_GONE, reason)
@@ -123,11 +123,11 @@
         return Replay(attrs.evolve(answer, replayed=True))
 
     def finish(self, number: int, key: int, result: CallAnswer | Refusal) -> None:
-        """Record the outcome of a key that was admitted with :class:`Run`."""
+        """Record the outcome of a key that was admitted as :class:`Run`."""
         state = self._tickets[number]
         state.running.discard(key)
         if isinstance(result, Refusal):
-            state.closed[key] = _closing(result)
+            state.closed[key] = _repeat_refusal(result)
             return
         state.ran.add(key)
         self._answers[number, key] = result
@@ -135,8 +135,8 @@
             self._answers.popitem(last=False)
 
 
-def _closing(refusal: Refusal) -> Refusal:
-    """Return what a repeated request with a closed key is told."""
+def _repeat_refusal(refusal: Refusal) -> Refusal:
+    """Return the refusal for a repeated request with a closed key."""
     if not refusal.did_not_run:
         return refusal
     reason = f"this key was refused before: {refusal.reason}; take the next key"
--- a/pistachioglade/decisions/_lease.py
+++ b/pistachioglade/decisions/_lease.py
@@ -1,4 +1,4 @@
-"""Judging a lease in the object API without comparing two clocks."""
+"""Expiry of a lease in the object API without a comparison of two clocks."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 @attrs.define
 class LeaseObserver:
-    """Watches one lease object; it has lapsed when it stays the same for long."""
+    """Observes one lease object, which expires when its version stops changing."""
 
-    # Object version that was seen last.
+    # Object version that was observed last; -1 before the first.
     version: int = -1
-    # When that version was first seen, by the observer's clock.
+    # Time at which that version was first observed, in seconds of the observer's clock.
     since_s: float = 0.0
 
     def observe(self, version: int, now_s: float) -> None:
-        """Note the version that the object has."""
+        """Record the current version of the object."""
         if version != self.version:
             self.version = version
             self.since_s = now_s
 
     def lapsed(self, lease_s: float, now_s: float) -> bool:
-        """Return whether the holder has not renewed for a whole lease."""
+        """Return whether the holder has not renewed the lease for ``lease_s``."""
         return self.version >= 0 and now_s - self.since_s >= lease_s
--- a/pistachioglade/decisions/_membership.py
+++ b/pistachioglade/decisions/_membership.py
@@ -1,7 +1,7 @@
-"""What is known of the members, merged from statements in any order.
+"""The membership table, merged from records that arrive in any order.
 
-A statement wins by incarnation, then by sequence, then by state. A node that
-reads of its own suspicion answers with a higher sequence (as in SWIM).
+The record with the highest incarnation, then sequence, then state wins. A node that
+receives a suspicion of itself refutes it with a higher sequence (as in SWIM).
 """
 
 from __future__ import annotations
@@ -14,15 +14,16 @@
 from ..messages import MemberRecord, MemberState
 from ._hashing import stable_hash
 
-#: Members are compared in this many groups.
+#: Number of hash buckets in which two nodes compare their members.
 BUCKET_COUNT: Final = 32
-#: Time for which a dead member is remembered, so that old news can't revive it.
+#: Time for which a dead member stays as a tombstone, in seconds, so that an old record
+#: can't revive the member.
 FORGET_AFTER_S: Final = 600.0
 
 _RANK: Final = {state: rank for rank, state in enumerate(MemberState)}
 
 
-def _order(record: MemberRecord) -> tuple[int, int, int]:
+def _precedence(record: MemberRecord) -> tuple[int, int, int]:
     return record.incarnation, record.sequence, _RANK[record.state]
 
 
@@ -31,7 +32,7 @@
 
 
 class Membership:
-    """The table of one node."""
+    """The membership table of one node."""
 
     def __init__(self, own: MemberRecord) -> None:
         self._own = own
@@ -40,7 +41,7 @@
 
     @property
     def own(self) -> MemberRecord:
-        """The node's statement about itself."""
+        """The node's record of itself."""
         return self._own
 
     def records(self) -> tuple[MemberRecord, ...]:
@@ -48,28 +49,28 @@
         return tuple(self._records.values())
 
     def get(self, node: str) -> MemberRecord | None:
-        """Return what is known of ``node``."""
+        """Return the record of ``node``; None if the node is unknown."""
         return self._records.get(node)
 
     def merge(
         self, records: Iterable[MemberRecord], now_s: float
     ) -> tuple[MemberRecord, ...]:
-        """Take statements in and return those that were news, to be passed on."""
-        news = [record for record in records if self._take(record, now_s)]
-        return tuple(self._records[record.node] for record in news)
+        """Merge records and return those that changed the table, to be gossiped."""
+        changes = [record for record in records if self._apply(record, now_s)]
+        return tuple(self._records[record.node] for record in changes)
 
-    def _take(self, record: MemberRecord, now_s: float) -> bool:
+    def _apply(self, record: MemberRecord, now_s: float) -> bool:
         if record.node == self._own.node:
-            return self._answer(record, now_s)
+            return self._refute(record, now_s)
         known = self._records.get(record.node)
-        if known is not None and _order(record) <= _order(known):
+        if known is not None and _precedence(record) <= _precedence(known):
             return False
         self._store(record, now_s)
         return True
 
-    def _answer(self, record: MemberRecord, now_s: float) -> bool:
-        """Contradict a statement about this very node that is not its own."""
-        if _order(record) <= _order(self._own):
+    def _refute(self, record: MemberRecord, now_s: float) -> bool:
+        """Refute a newer record of this node that came from another node."""
+        if _precedence(record) <= _precedence(self._own):
             return False
         self._own = attrs.evolve(
             self._own,
@@ -84,7 +85,7 @@
         self._changed_at_s[record.node] = now_s
 
     def declare_leaving(self, now_s: float) -> MemberRecord:
-        """State that this node is leaving."""
+        """Record that this node is leaving and return its record."""
         self._own = attrs.evolve(
             self._own, sequence=self._own.sequence + 1, state=MemberState.LEAVING
         )
@@ -92,7 +93,10 @@
         return self._own
 
     def suspect(self, node: str, now_s: float) -> MemberRecord | None:
-        """State that ``node`` does not answer; None if that is no news."""
+        """Record that ``node`` does not answer; return None if nothing changes.
+
+        A leaving node that does not answer is dead at once.
+        """
         known = self._records.get(node)
         if known is None or known.state in (MemberState.SUSPECT, MemberState.DEAD):
             return None
@@ -103,32 +107,34 @@
         return record
 
     def expire(self, now_s: float, dead_after_s: float) -> tuple[MemberRecord, ...]:
-        """Turn old suspicions into deaths; forget those dead for long."""
-        old = [
+        """Declare old suspects dead, return them, and remove old tombstones."""
+        suspects = [
             record
             for record in self._records.values()
             if record.state is MemberState.SUSPECT
             and now_s - self._changed_at_s[record.node] >= dead_after_s
         ]
-        deaths = tuple(attrs.evolve(record, state=MemberState.DEAD) for record in old)
+        deaths = tuple(
+            attrs.evolve(record, state=MemberState.DEAD) for record in suspects
+        )
         for record in deaths:
             self._store(record, now_s)
-        self._forget(now_s)
+        self._remove_tombstones(now_s)
         return deaths
 
-    def _forget(self, now_s: float) -> None:
-        gone = [
+    def _remove_tombstones(self, now_s: float) -> None:
+        expired = [
             record.node
             for record in self._records.values()
             if record.state is MemberState.DEAD
             and now_s - self._changed_at_s[record.node] >= FORGET_AFTER_S
         ]
-        for node in gone:
+        for node in expired:
             del self._records[node]
             del self._changed_at_s[node]
 
     def buckets(self) -> tuple[int, ...]:
-        """Return one hash for each group of members, to compare with a peer."""
+        """Return one hash for each bucket, to compare with a peer."""
         hashes = [0] * BUCKET_COUNT
         for record in self._records.values():
             text = f"{record.incarnation}:{record.sequence}:{record.state.value}"
@@ -136,7 +142,7 @@
         return tuple(hashes)
 
     def in_buckets(self, buckets: Iterable[int]) -> tuple[MemberRecord, ...]:
-        """Return the records of the given groups."""
+        """Return the records of the members in the given buckets."""
         wanted = set(buckets)
         return tuple(
             record
--- a/pistachioglade/decisions/_sample_order.py
+++ b/pistachioglade/decisions/_sample_order.py
@@ -1,13 +1,13 @@
 """In which order the samples of all jobs of one node start.
 
-The load it answers: two to four trainers whose steps of some sixty samples arrive
-together, of which a few are ten times as long as the others; a step is worth the groups
-that are whole by its due time, and is over when nine tenths of them are. Samples that
-have begun go first, then the one whose latest start comes first: its step's due time
-less its expected length. A long sample that starts late is what a step waits for; the
-short ones of an earlier step can wait a moment for it and fill the slots that come
-free. Groups that came before count as a little more urgent, since a trainer always
-waits for these.
+Two to four trainers submit steps of some sixty samples at the same time, and a few
+samples are ten times as long as the others. The value of a step is the number of groups
+that are complete by its due time, and the step ends when nine tenths of its groups are
+complete. Samples with a partial text start first, then samples by their latest start
+time: the step's due time less the sample's expected duration. A step waits for its long
+samples that start late; the short samples of an earlier step can wait for a moment and
+fill the slots that become free. Groups carried over from an earlier job are slightly
+more urgent, since a trainer always waits for them.
 """
 
 from __future__ import annotations
@@ -17,32 +17,32 @@
 
 import attrs
 
-#: Time of one output token, in seconds; only the order matters.
+#: Estimated time of one output token, in seconds. The estimate affects only the order.
 _TOKEN_S: Final = 0.0007
-#: How much more urgent a group is that was left over from an earlier step, in seconds:
-#: the length of a usual sample.
-_CARRIED_S: Final = 1.0
+#: Time by which the samples of a carried-over group are more urgent, in seconds: the
+#: duration of a usual sample.
+_CARRIED_LEAD_S: Final = 1.0
 
 
 @attrs.frozen
 class PendingSample:
     """A sample that waits for an instance."""
 
-    # Job that it belongs to.
+    # Id of the sample's job.
     job_id: str
-    # Item in the job.
+    # Id of the sample's item in the job.
     item_id: str
-    # When the job's results are due, in seconds of the monotonic clock.
+    # Monotonic time at which the job's results are due, in seconds.
     due_s: float
-    # Whether its group was left over from an earlier job.
+    # Whether the sample's group was carried over from an earlier job.
     is_carried: bool
-    # Samples of its group that are not finished.
+    # Number of unfinished samples in the sample's group.
     group_open: int
-    # Place of the group in its job.
+    # Index of the group in the job.
     group_index: int
-    # Output tokens that the caller expects; None if it doesn't say.
+    # Output tokens that the caller expects; None without an estimate.
     expected_tokens: int | None
-    # Whether a part of its text is there already.
+    # Whether the sample has a partial text already.
     is_begun: bool
 
 
@@ -51,7 +51,7 @@
 ) -> list[PendingSample]:
     """Return the samples in the order in which they should start.
 
-    Without ``by_length``, steps go by their due times and samples by their places.
+    Without ``by_length``, samples are ordered by due times and not by latest starts.
     """
     return sorted(
         samples,
@@ -66,6 +66,6 @@
 
 
 def latest_start_s(sample: PendingSample) -> float:
-    """Return when a sample has to start to be done by its step's due time."""
-    length_s = (sample.expected_tokens or 0) * _TOKEN_S
-    return sample.due_s - length_s - (_CARRIED_S if sample.is_carried else 0.0)
+    """Return the latest start time that lets a sample finish by its due time."""
+    duration_s = (sample.expected_tokens or 0) * _TOKEN_S
+    return sample.due_s - duration_s - (_CARRIED_LEAD_S if sample.is_carried else 0.0)
--- a/pistachioglade/decisions/_step.py
+++ b/pistachioglade/decisions/_step.py
@@ -1,8 +1,8 @@
-"""The plan of one step: what to start where, what to give out, what is taken.
+"""The plan of one step: which samples to start where, to deliver and to repeat.
 
-The trainer's receipts are the truth about delivery. The plan may make a sample
-twice (a hedge, or a copy that became stale); it gives out the copy it settled
-on until the trainer has receipted one.
+The trainer's receipts are authoritative for delivery. The plan may start a sample
+twice (as a hedge, or because a copy became stale); it delivers the first finished
+copy repeatedly until the trainer has receipted a copy.
 """
 
 from __future__ import annotations
@@ -25,25 +25,26 @@
 )
 from ._staleness import is_fresh
 
-#: A sample may be hedged once this part of the step is finished.
-_HEDGE_FROM: Final = 0.7
-#: A sample is stuck beyond this multiple of the longest finished one's duration.
+#: Fraction of a step's samples that are finished before a sample may be hedged.
+_HEDGE_MIN_FINISHED_FRACTION: Final = 0.7
+#: A sample is stuck once it has run for this multiple of the longest duration of a
+#: finished sample.
 _STUCK_FACTOR: Final = 1.5
-#: An agent is slow whose token rate is below this part of the usual one.
-_SLOW_RATE: Final = 0.6
-#: Samples by which an agent's rate is judged.
-_RATE_WINDOW: Final = 16
+#: Fraction of the median agent's token rate below which an agent is slow.
+_SLOW_RATE_FRACTION: Final = 0.6
+#: Latest samples of an agent from which its token rate is computed.
+_RATE_WINDOW_SAMPLES: Final = 16
 
 
 @attrs.frozen
 class StepPolicy:
-    """How a plan orders and hedges."""
+    """The settings by which a plan orders, places and hedges samples."""
 
-    # How agents are chosen.
+    # Settings by which agents are chosen.
     placement: PlacementPolicy = attrs.field(factory=PlacementPolicy)
-    # Whether groups with the longest samples go first.
+    # Whether groups with the longest samples start first.
     longest_first: bool = True
-    # Part of the samples that may be started twice.
+    # Fraction of the step's samples that may be hedged.
     hedge_part: float = 0.05
 
 
@@ -55,22 +56,22 @@
     index: int
     # Group of the sample.
     group: int
-    # Agent to start it at.
+    # Node id of the agent that runs the copy.
     agent: str
-    # Whether another copy is running already.
+    # Whether the copy is a hedge: another copy is running already.
     hedge: bool = False
 
 
 @attrs.frozen
 class _Copy:
-    # Agent that makes it.
+    # Node id of the agent that runs the copy.
     agent: str
-    # When it was started.
+    # Start of the copy, in seconds of the plan's clock.
     started_s: float
 
 
 class StepPlan:
-    """The state of a step at its owner."""
+    """The state of a step's samples at the owner of the step."""
 
     def __init__(
         self, key: str, group_sizes: Sequence[int], policy: StepPolicy
@@ -94,47 +95,47 @@
         self._group_tokens: dict[int, list[int]] = defaultdict(list)
         self._durations_s: list[float] = []
         self._rates: dict[str, deque[float]] = defaultdict(
-            lambda: deque(maxlen=_RATE_WINDOW)
+            lambda: deque(maxlen=_RATE_WINDOW_SAMPLES)
         )
-        self._homes = GroupHomes(key)
+        self._affinity = GroupHomes(key)
         self._hedged = 0
 
     @property
     def sample_count(self) -> int:
-        """How many samples the step has."""
+        """Number of samples in the step."""
         return len(self._group_of)
 
     @property
     def missing_count(self) -> int:
-        """How many samples are not receipted yet."""
+        """Number of samples that the trainer has not receipted yet."""
         return self.sample_count - len(self._receipts)
 
     @property
     def is_complete(self) -> bool:
-        """Whether the trainer has every sample."""
+        """Whether the trainer has receipted every sample."""
         return self.missing_count == 0
 
     @property
     def pending_count(self) -> int:
-        """How many samples wait to be started."""
+        """Number of samples that wait for their start."""
         return sum(map(len, self._pending.values()))
 
     @property
     def receipts(self) -> tuple[Receipt, ...]:
-        """What the trainer has taken, by index."""
+        """The receipts of the trainer, sorted by sample index."""
         return tuple(self._receipts[index] for index in sorted(self._receipts))
 
     @property
     def has_running(self) -> bool:
-        """Whether any copy is being made."""
+        """Whether any copy is running."""
         return bool(self._running)
 
     def has_copy(self, index: int) -> bool:
-        """Return whether a copy of a sample is ready or was taken."""
+        """Return whether a copy of a sample is ready or receipted."""
         return index in self._ready or index in self._receipts
 
     def running_at(self, agent: str) -> tuple[int, ...]:
-        """Return the samples that an agent is making."""
+        """Return the indices of the samples that run at an agent."""
         return tuple(
             index
             for index, copies in self._running.items()
@@ -142,21 +143,21 @@
         )
 
     def outstanding(self) -> dict[str, int]:
-        """Return how many copies each agent is making."""
+        """Return the number of copies that run at each agent."""
         counts: dict[str, int] = defaultdict(int)
         for copy in chain.from_iterable(self._running.values()):
             counts[copy.agent] += 1
         return counts
 
     def expected_tokens(self, group: int) -> int:
-        """Return the expected length of a group's samples; 0 if not known."""
+        """Return the expected tokens of a group's samples; 0 if not known."""
         known = self._group_tokens.get(group)
         return int(fmean(known)) if known else 0
 
     def next_dispatch(
         self, agents: Sequence[AgentView], now_s: float
     ) -> Dispatch | None:
-        """Return the next copy to start, which then counts as started."""
+        """Return the next copy to start and record the copy as started."""
         dispatch = self._next_pending(agents) or self._next_hedge(agents, now_s)
         if dispatch is not None:
             copies = self._running.setdefault(dispatch.index, [])
@@ -165,55 +166,58 @@
         return dispatch
 
     def _next_pending(self, agents: Sequence[AgentView]) -> Dispatch | None:
-        room = agents_with_room(agents, self._policy.placement)
+        available = agents_with_room(agents, self._policy.placement)
         if not self._pending:
             return None
-        for agent, group in self._choices(room, agents):
+        for agent, group in self._iter_choices(available, agents):
             index = self._pending[group].pop(0)
             if not self._pending[group]:
                 del self._pending[group]
             return Dispatch(index, group, agent)
         return None
 
-    def _choices(
-        self, room: Sequence[AgentView], agents: Sequence[AgentView]
+    def _iter_choices(
+        self, available: Sequence[AgentView], agents: Sequence[AgentView]
     ) -> Iterator[tuple[str, int]]:
-        """Yield agents with room and the group that each would take from."""
+        """Yield each available agent and the group whose sample it would start."""
         if not self._policy.placement.group_affinity:
-            yield from ((view.agent, min(self._pending)) for view in room)
+            yield from ((view.agent, min(self._pending)) for view in available)
             return
-        waiting = {group: len(left) for group, left in self._pending.items()}
-        self._homes.assign(waiting, [view for view in agents if view.usable])
-        chosen = self._without_slow(room, agents)
+        waiting = {group: len(pending) for group, pending in self._pending.items()}
+        self._affinity.assign(waiting, [view for view in agents if view.usable])
+        chosen = self._exclude_slow_agents(available, agents)
         free = {view.agent for view in chosen if view.load < 1.0}
         busy = {view.agent for view in agents} - free
         for view in chosen:
-            groups = self._homes.groups_for(view.agent, waiting, busy)
+            groups = self._affinity.groups_for(view.agent, waiting, busy)
             if groups:
-                yield view.agent, self._best_group(groups)
+                yield view.agent, self._choose_group(groups)
 
-    def _without_slow(
-        self, room: Sequence[AgentView], agents: Sequence[AgentView]
+    def _exclude_slow_agents(
+        self, available: Sequence[AgentView], agents: Sequence[AgentView]
     ) -> Sequence[AgentView]:
-        """Return the agents to choose from; near the end no slow ones.
+        """Return the agents to choose from, without slow agents near the step's end.
 
-        What a slow agent gets last is what the trainer waits for.
+        The trainer waits for the samples that a slow agent starts last.
         """
-        slow = slow_agents(self._rates, _SLOW_RATE)
+        slow = slow_agents(self._rates, _SLOW_RATE_FRACTION)
         quick_slots = sum(
             view.slots for view in agents if view.usable and view.agent not in slow
         )
         if self.pending_count > 2 * quick_slots:
-            return room
-        return [view for view in room if view.agent not in slow]
+            return available
+        return [view for view in available if view.agent not in slow]
 
-    def _best_group(self, groups: Sequence[int]) -> int:
+    def _choose_group(self, groups: Sequence[int]) -> int:
         if not self._policy.longest_first:
             return min(groups)
         return min(groups, key=self._group_rank)
 
     def _group_rank(self, group: int) -> tuple[int, int, int]:
-        """Probe each group once, then finish the longest groups first."""
+        """Rank groups without a started sample first, then the longest groups.
+
+        The first sample of a group shows the expected length of its others.
+        """
         probed = bool(self._group_tokens.get(group)) or self._is_started(group)
         return int(probed), -self.expected_tokens(group), group
 
@@ -222,28 +226,31 @@
         return first in self._running or first in self._ready
 
     def _next_hedge(self, agents: Sequence[AgentView], now_s: float) -> Dispatch | None:
-        """Start a second copy of what a slow or silent agent holds up."""
+        """Return a second copy of a sample that a slow or silent agent delays."""
         budget = self._policy.hedge_part * self.sample_count
         finished = len(self._ready) + len(self._receipts)
-        if self._hedged >= budget or finished < _HEDGE_FROM * self.sample_count:
+        if (
+            self._hedged >= budget
+            or finished < _HEDGE_MIN_FINISHED_FRACTION * self.sample_count
+        ):
             return None
-        slow = slow_agents(self._rates, _SLOW_RATE)
-        late = self._latest(slow, now_s)
-        if late is None:
+        slow = slow_agents(self._rates, _SLOW_RATE_FRACTION)
+        delayed = self._find_delayed_sample(slow, now_s)
+        if delayed is None:
             return None
-        taken = {copy.agent for copy in self._running[late]} | slow
+        excluded = {copy.agent for copy in self._running[delayed]} | slow
         idle = [
             view
             for view in agents
-            if view.usable and view.agent not in taken and view.load < 1.0
+            if view.usable and view.agent not in excluded and view.load < 1.0
         ]
         if not idle:
             return None
         agent = min(idle, key=lambda view: (view.load, view.agent)).agent
-        return Dispatch(late, self._group_of[late], agent, hedge=True)
+        return Dispatch(delayed, self._group_of[delayed], agent, hedge=True)
 
-    def _latest(self, slow: frozenset[str], now_s: float) -> int | None:
-        """Return the oldest single copy that is at a slow agent or stuck."""
+    def _find_delayed_sample(self, slow: frozenset[str], now_s: float) -> int | None:
+        """Return the oldest unhedged sample that is stuck or at a slow agent."""
         stuck_s = _STUCK_FACTOR * max(self._durations_s, default=0.0)
         singles = [
             (copies[0].started_s, index)
@@ -254,7 +261,7 @@
         return min(singles)[1] if singles else None
 
     def finish(self, agent: str, sample: Sample, now_s: float) -> tuple[str, ...]:
-        """Take a finished copy; return the agents whose copies are now useless."""
+        """Record a finished copy; return the agents that run obsolete copies of it."""
         index = sample.index
         copies = self._running.pop(index, [])
         for duration_s in (
@@ -265,11 +272,11 @@
             self._rates[agent].append(sample.tokens_per_s)
         self._group_tokens[self._group_of[index]].append(sample.token_count)
         if index not in self._receipts and index not in self._ready:
-            self._unqueue(index)
+            self._remove_pending(index)
             self._ready[index] = sample
         return tuple(copy.agent for copy in copies if copy.agent != agent)
 
-    def _unqueue(self, index: int) -> None:
+    def _remove_pending(self, index: int) -> None:
         group = self._group_of[index]
         waiting = self._pending.get(group, [])
         if index in waiting:
@@ -278,7 +285,7 @@
             self._pending.pop(group, None)
 
     def fail(self, agent: str, index: int) -> None:
-        """Note that a copy came to nothing; start it again if it was the last."""
+        """Record a failed copy; queue the sample again if no other copy runs."""
         copies = self._running.get(index, [])
         kept = [copy for copy in copies if copy.agent != agent]
         if len(kept) == len(copies):
@@ -299,7 +306,7 @@
     def drop_stale(
         self, newest_version: int, bound_versions: int
     ) -> tuple[Sample, ...]:
-        """Throw away ready copies that are too old now, and make them again."""
+        """Discard ready copies that have become stale and queue their samples again."""
         stale = tuple(
             sample
             for sample in self._ready.values()
@@ -311,7 +318,7 @@
         return stale
 
     def reject(self, indices: Iterable[int]) -> tuple[Sample, ...]:
-        """Throw away copies that the trainer found too old."""
+        """Discard copies that the trainer rejected as stale and queue them again."""
         dropped = tuple(
             self._ready.pop(index) for index in set(indices) if index in self._ready
         )
@@ -320,7 +327,7 @@
         return dropped
 
     def receive(self, receipts: Iterable[Receipt]) -> tuple[int, ...]:
-        """Note what the trainer took; return samples whose making can stop."""
+        """Record receipts; return the samples whose running copies can be cancelled."""
         fresh = [
             receipt
             for receipt in receipts
@@ -330,16 +337,16 @@
         for receipt in fresh:
             self._receipts[receipt.index] = receipt
             self._ready.pop(receipt.index, None)
-            self._unqueue(receipt.index)
+            self._remove_pending(receipt.index)
         return tuple(
             receipt.index for receipt in fresh if receipt.index in self._running
         )
 
     def restore(self, receipts: Iterable[Receipt]) -> tuple[int, ...]:
-        """Take the receipts of a trainer that opens the step again as the truth.
+        """Replace all receipts by those of a trainer that reopens the step.
 
-        A trainer that went back to its checkpoint lacks samples that it once had
-        receipted; those are made again.
+        A trainer that returned to its checkpoint lacks samples that it had receipted
+        before; those are generated again.
         """
         known = tuple(receipts)
         kept = {receipt.index for receipt in known}
@@ -348,6 +355,6 @@
             self._requeue(index)
         return self.receive(known)
 
-    def ready(self, most: int) -> tuple[Sample, ...]:
-        """Return samples that the trainer has not receipted."""
-        return tuple(self._ready[index] for index in sorted(self._ready)[:most])
+    def ready(self, max_samples: int) -> tuple[Sample, ...]:
+        """Return finished samples that the trainer has not receipted yet."""
+        return tuple(self._ready[index] for index in sorted(self._ready)[:max_samples])
--- a/pistachioglade/decisions/_takeover.py
+++ b/pistachioglade/decisions/_takeover.py
@@ -1,9 +1,9 @@
-"""Who watches whom among the entries, and when jobs pass on to another one.
+"""Failure detection among the entries, and failover of their jobs.
 
-The load it answers: a step is due in 7.5 s and an entry may vanish, freeze or lose the
-store right after it has accepted one. Each entry watches just the one before it in the
-order of names, so that the probes grow with the entries and not with their square; and
-running an item twice is harmless, so that being wrong costs little.
+A step is due in 7.5 s, and an entry may vanish, freeze or lose the store right after
+it has accepted a step. Each entry probes only its neighbour, the entry before it in the
+order of names, so that the number of probes grows linearly with the number of entries
+instead of quadratically. Items are idempotent, so that a false detection costs little.
 """
 
 from __future__ import annotations
@@ -13,108 +13,112 @@
 
 import attrs
 
-#: Time between two probes of the neighbour.
+#: Interval between two probes of the neighbour.
 PROBE_INTERVAL_S: Final = 0.4
-#: Time for the answer to a probe.
+#: Timeout of a short call to any other entry.
 PROBE_TIMEOUT_S: Final = 0.5
-#: Time for the answer to a probe of the neighbour before another is sent.
+#: Wait for the answer to a probe of the neighbour before the next probe is sent.
 NEIGHBOUR_TIMEOUT_S: Final = 0.3
 #: Silence after which the neighbour's jobs are taken over: two missed probes. A step's
-#: longest samples fill its time but for half a second, so that each tenth counts.
+#: longest samples leave half a second of its time, so that each tenth of a second
+#: counts.
 _LOST_AFTER_S: Final = 1.0
-#: Time for which the answer to a probe of the neighbour counts.
+#: Time after a probe of the neighbour within which a late answer still counts.
 LATE_ANSWER_S: Final = 2.0
-#: Times the usual answer time after which a neighbour that answers slowly is lost.
-_SLOW_ANSWERS: Final = 4.0
-#: Longest silence of a neighbour that answers slowly.
-_LONGEST_SILENCE_S: Final = 3.0
-#: Silence after which the link to the neighbour is opened anew.
+#: Multiple of the recent answer time after which a slow neighbour is lost.
+_SLOW_ANSWER_FACTOR: Final = 4.0
+#: Silence after which even a slow neighbour is lost.
+_MAX_SILENCE_S: Final = 3.0
+#: Silence after which the link to the neighbour is reopened.
 _REOPEN_AFTER_S: Final = 0.6
-#: Time between two probes of a neighbour that missed the last one.
-_DOUBT_INTERVAL_S: Final = 0.12
-#: Connections refused in a row after which a neighbour's process has ended: its machine
-#: answers and nobody listens. One alone may fall between two processes.
+#: Interval between two probes of a neighbour that has not answered the last probe.
+_MISSED_PROBE_INTERVAL_S: Final = 0.12
+#: Consecutive refused connections after which the neighbour's process has ended: its
+#: machine answers, but no process listens. A single refusal can occur while one process
+#: replaces another.
 _LOST_AFTER_REFUSED: Final = 3
-#: Time without the store after which an entry can't list results in time.
-_STORELESS_AFTER_S: Final = 1.2
-#: Time without the store after which an entry leaves the list: longer than an idle one
-#: goes without a call.
-_STRUCK_OFF_AFTER_S: Final = 2.0
-#: Age of the store's last answer up to which an entry takes a job without another look.
-_FRESH_S: Final = 0.5
+#: Time without the store after which an entry can't write results in time.
+_STORE_LOST_AFTER_S: Final = 1.2
+#: Time without the store after which an entry is removed from the list of entries:
+#: longer than the time between two store calls of an idle entry.
+_UNLIST_AFTER_S: Final = 2.0
+#: Age of the store's last answer below which an entry accepts a job without another
+#: store read.
+_FRESH_STORE_AGE_S: Final = 0.5
 
 
 @attrs.frozen
 class NeighbourView:
-    """What an entry knows of the one that it watches."""
+    """The state of the neighbour as the entry that probes it knows it."""
 
-    # When it last answered, or when watching began.
+    # Time of the neighbour's last answer, or of the first probe, in seconds.
     heard_s: float
-    # How long it has been without the store, by its last answer; None if unknown.
+    # Age of the store's last answer to the neighbour, in seconds, as its last probe
+    # answer says; None if unknown.
     store_age_s: float | None
-    # How long this entry has been without the store.
+    # Age of the store's last answer to this entry, in seconds.
     own_store_age_s: float
-    # Connections that its machine has refused since it last answered.
+    # Connections that the neighbour's machine has refused since its last answer.
     refused: int = 0
-    # How long its answers have taken of late.
+    # Decaying maximum of the neighbour's answer times, in seconds.
     answer_s: float = 0.0
 
 
 def neighbour_of(name: str, members: Iterable[str]) -> str | None:
-    """Return the member that ``name`` watches; None if there is no other."""
+    """Return the member that ``name`` probes; None if there is no other."""
     others = sorted(member for member in members if member != name)
     before = [member for member in others if member < name]
     return (before or others)[-1] if others else None
 
 
 def heir_of(name: str, members: Iterable[str]) -> str | None:
-    """Return the member that watches ``name`` and takes its jobs over."""
+    """Return the member that probes ``name`` and takes over its jobs."""
     others = sorted(member for member in members if member != name)
     behind = [member for member in others if member > name]
     return (behind or others)[0] if others else None
 
 
-def probe_interval_s(is_in_doubt: bool) -> float:
-    """Return the time to the next probe; short while the last one was missed."""
-    return _DOUBT_INTERVAL_S if is_in_doubt else PROBE_INTERVAL_S
+def probe_interval_s(has_missed_probe: bool) -> float:
+    """Return the time to the next probe; shorter if the last probe got no answer."""
+    return _MISSED_PROBE_INTERVAL_S if has_missed_probe else PROBE_INTERVAL_S
 
 
 def is_lost(view: NeighbourView, now_s: float) -> bool:
-    """Whether the neighbour has fallen silent, or its process has ended.
+    """Return whether the neighbour is silent for too long or its process has ended.
 
-    A busy one answers late. Its jobs would make the next entry as busy, whose own
-    neighbour would pass them on again.
+    A busy neighbour answers late and is not lost: its jobs would make the next entry
+    as busy, whose jobs would be passed on again.
     """
-    slow_s = min(_LONGEST_SILENCE_S, _SLOW_ANSWERS * view.answer_s)
+    slow_s = min(_MAX_SILENCE_S, _SLOW_ANSWER_FACTOR * view.answer_s)
     is_silent = now_s - view.heard_s > max(_LOST_AFTER_S, slow_s)
     return is_silent or view.refused >= _LOST_AFTER_REFUSED
 
 
 def should_reopen_link(silent_s: float, since_reopened_s: float) -> bool:
-    """Whether the link to a silent neighbour is opened anew."""
+    """Return whether to reopen the link to a silent neighbour."""
     return min(silent_s, since_reopened_s) > _REOPEN_AFTER_S
 
 
 def is_store_fresh(age_s: float | None) -> bool:
-    """Whether an entry has heard from the store so lately that it may take a job."""
-    return age_s is not None and age_s < _FRESH_S
+    """Return whether the store's last answer is recent enough to accept a job."""
+    return age_s is not None and age_s < _FRESH_STORE_AGE_S
 
 
 def is_storeless(view: NeighbourView) -> bool:
-    """Whether the neighbour lives without the store while this entry reaches it."""
-    return _lacks_store(view, _STORELESS_AFTER_S)
+    """Return whether only the neighbour, not this entry, has lost the store."""
+    return _has_lost_store(view, _STORE_LOST_AFTER_S)
 
 
 def should_strike_off(view: NeighbourView) -> bool:
-    """Whether a neighbour that lives without the store leaves the list of entries.
+    """Return whether to remove a neighbour without the store from the list of entries.
 
-    New jobs go to listed entries, and each would wait for its refusal. It lists
-    itself anew once it reaches the store.
+    New jobs go to listed entries, and each job would wait for the neighbour's refusal.
+    The neighbour lists itself again once it reaches the store.
     """
-    return _lacks_store(view, _STRUCK_OFF_AFTER_S)
+    return _has_lost_store(view, _UNLIST_AFTER_S)
 
 
-def _lacks_store(view: NeighbourView, after_s: float) -> bool:
-    if view.own_store_age_s > _STORELESS_AFTER_S / 2:
+def _has_lost_store(view: NeighbourView, after_s: float) -> bool:
+    if view.own_store_age_s > _STORE_LOST_AFTER_S / 2:
         return False
     return view.store_age_s is not None and view.store_age_s > after_s
--- a/pistachioglade/decisions/tests/test_keys.py
+++ b/pistachioglade/decisions/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""The at-most-once gate, as tables and as a property."""
+"""The at-most-once gate: tables of cases and a property test."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
         (Ticket("a", 7, 0, 3), 0, "clerk", "lm", ErrorKind.BAD_REQUEST),
     ],
 )
-def test_keys_that_are_not_taken(
+def test_a_key_that_does_not_fit_its_ticket_is_refused(
     ticket: Ticket, key: int, caller: str, upstream: str, kind: ErrorKind
 ) -> None:
     gate, _ticket = _gate()
--- a/pistachioglade/decisions/tests/test_shares.py
+++ b/pistachioglade/decisions/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Fair division of slots: shares, floods, returns from idle."""
+"""Fair division of slots: shares, floods and trainers that were idle."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def _serve(
     queue: FairQueue[int], lengths: dict[str, int], slots: int, rounds: int
 ) -> Counter[str]:
-    """Keep every trainer backlogged; return the tokens that each got."""
+    """Serve trainers that are always backlogged; return the tokens of each."""
     rng = random.Random(1)
     running: list[tuple[float, str, int]] = []
     tokens: Counter[str] = Counter()
@@ -25,12 +25,12 @@
         while len(running) < slots:
             trainer = queue.backlogged()[0]
             queue.pop(trainer)
-            made = rng.randint(1, 2 * lengths[trainer])
-            running.append((now + made, trainer, made))
+            length = rng.randint(1, 2 * lengths[trainer])
+            running.append((now + length, trainer, length))
         running.sort()
-        now, trainer, made = running.pop(0)
-        queue.finished(trainer, made)
-        tokens[trainer] += made
+        now, trainer, length = running.pop(0)
+        queue.finished(trainer, length)
+        tokens[trainer] += length
     return tokens
 
 
@@ -51,7 +51,7 @@
         assert abs(100 * tokens[trainer] / total - share) < 2.0
 
 
-def test_a_flood_starves_nobody() -> None:
+def test_a_flood_does_not_starve_another_trainer() -> None:
     queue: FairQueue[int] = FairQueue({"flood": 50, "small": 50})
     for _item in range(1000):
         queue.push("flood", 0)
@@ -65,7 +65,7 @@
     assert "small" in [*first, queue.backlogged()[0]]
 
 
-def test_idleness_earns_no_credit() -> None:
+def test_an_idle_trainer_earns_no_credit() -> None:
     queue: FairQueue[int] = FairQueue({"busy": 50, "idle": 50})
     for _item in range(200):
         queue.push("busy", 0)
--- a/pistachioglade/decisions/tests/test_step.py
+++ b/pistachioglade/decisions/tests/test_step.py
@@ -1,4 +1,4 @@
-"""The plan of a step: every index once, whatever order things happen in."""
+"""The plan of a step: each sample is delivered once in any order of events."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     assert len(agents) <= 2
 
 
-def test_a_slow_sample_is_hedged_once_and_the_loser_is_named() -> None:
+def test_a_slow_sample_is_hedged_once_and_its_obsolete_copy_is_returned() -> None:
     plan = StepPlan("k", [10], StepPolicy(hedge_part=0.1))
     started = []
     while (dispatch := plan.next_dispatch(_views(plan), 0.0)) is not None:
@@ -55,18 +55,18 @@
     assert (hedge.index, hedge.hedge) == (slow.index, True)
     assert hedge.agent != slow.agent
     assert plan.next_dispatch(_views(plan), 9.0) is None
-    losers = plan.finish(hedge.agent, _sample(hedge.index, hedge.agent), 10.0)
-    assert losers == (slow.agent,)
+    obsolete = plan.finish(hedge.agent, _sample(hedge.index, hedge.agent), 10.0)
+    assert obsolete == (slow.agent,)
 
 
-def test_both_copies_of_a_hedge_finish_and_one_counts() -> None:
+def test_only_the_first_of_two_finished_copies_is_ready() -> None:
     plan = StepPlan("k", [1], StepPolicy())
     plan.finish("a", _sample(0, "a"), 1.0)
     plan.finish("b", _sample(0, "b"), 1.0)
     assert [sample.agent for sample in plan.ready(10)] == ["a"]
 
 
-def test_stale_copies_are_made_again() -> None:
+def test_stale_copies_are_queued_again() -> None:
     plan = StepPlan("k", [2], StepPolicy())
     plan.next_dispatch(_views(plan), 0.0)
     plan.finish("a", _sample(0, "a", version=1), 1.0)
@@ -75,7 +75,7 @@
     assert plan.pending_count == 2
 
 
-def test_a_restored_trainer_gets_again_what_it_lost() -> None:
+def test_samples_that_a_restored_trainer_lacks_are_queued_again() -> None:
     plan = StepPlan("k", [2], StepPolicy())
     receipts = [_receipt(_sample(index, "a")) for index in range(2)]
     plan.receive(receipts)
@@ -96,7 +96,7 @@
 
 @given(_EVENTS)
 def test_no_sample_is_ever_lost(events: list[tuple[str, int]]) -> None:
-    """Each index is waiting, running, ready or receipted, whatever happens."""
+    """Each sample is pending, running, ready or receipted after any events."""
     plan = StepPlan("k", [3, 3], StepPolicy(hedge_part=1.0))
     now_s = 0.0
     for event, index in events:
@@ -129,8 +129,8 @@
         plan.receive(map(_receipt, plan.ready(100)))
 
 
-def test_what_waits_for_a_slow_home_goes_elsewhere_near_the_end() -> None:
-    """The groups of a home that is passed over must not wait for ever."""
+def test_groups_of_a_slow_agent_start_elsewhere_near_the_steps_end() -> None:
+    """Guards against groups that wait forever for an excluded preferred agent."""
     plan = StepPlan("k", [3, 3, 3, 3], StepPolicy())
     while plan.pending_count >= 6:
         plan.next_dispatch(_views(plan), 0.0)
--- a/pistachioglade/decisions/tests/test_tables.py
+++ b/pistachioglade/decisions/tests/test_tables.py
@@ -1,4 +1,4 @@
-"""Tables of cases for the small decisions."""
+"""Tables of cases for staleness, retries, gossip links, transfers and holds."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
     assert may_retry(refuse(kind, "why"), idempotent, remaining_s) is allowed
 
 
-def test_unknown_is_never_retried_unless_idempotent() -> None:
+def test_an_unknown_outcome_of_a_non_idempotent_request_is_not_retried() -> None:
     unknown = [
         kind for kind in ErrorKind if ANSWERS[kind].execution is not Execution.NOT_RUN
     ]
@@ -71,12 +71,12 @@
     nodes = [f"node-{number}" for number in range(size)]
     links = {node: fingers(nodes, node) for node in nodes}
     assert max(map(len, links.values())) <= 10
-    reached, border = {nodes[0]}, {nodes[0]}
+    reached, frontier = {nodes[0]}, {nodes[0]}
     hops = 0
-    while border:
-        border = {peer for node in border for peer in links[node]} - reached
-        reached |= border
-        hops += bool(border)
+    while frontier:
+        frontier = {peer for node in frontier for peer in links[node]} - reached
+        reached |= frontier
+        hops += bool(frontier)
     assert reached == set(nodes)
     assert hops <= 10
 
@@ -95,7 +95,9 @@
     ("domain", "swap_s", "expected_s"),
     [("a", 1.0, 0.0), ("c", 1.0, 2.0), ("c", 9.0, 4.0)],
 )
-def test_waves_fit_the_bound(domain: str, swap_s: float, expected_s: float) -> None:
+def test_update_waves_fit_the_time_bound(
+    domain: str, swap_s: float, expected_s: float
+) -> None:
     assert wave_delay_s(domain, ["a", "b", "c"], swap_s, 6.0) == expected_s
 
 
@@ -109,7 +111,7 @@
         (VersionPace(10.0, 100.0), 105.0, 5.0),
     ],
 )
-def test_a_step_is_held_for_weights_that_come_soon(
+def test_a_step_is_held_for_weights_that_are_due_soon(
     pace: VersionPace, now_s: float, expected_s: float
 ) -> None:
     assert hold_s(pace, now_s) == pytest.approx(expected_s)
