--- a/pistachioglade/decisions/_checkpoints.py
+++ b/pistachioglade/decisions/_checkpoints.py
@@ -12,7 +12,8 @@
 
 Sample = TypeVar("Sample", bound=Hashable)
 
-#: Shortest interval between two checkpoints: the work on a sample that a crash loses.
+#: Shortest interval between two checkpoints. At this interval, a crash loses at most as
+#: much work on a sample.
 _MIN_INTERVAL_S: Final = 0.4
 #: Longest interval between two checkpoints.
 _MAX_INTERVAL_S: Final = 1.5
--- a/pistachioglade/decisions/_result_batches.py
+++ b/pistachioglade/decisions/_result_batches.py
@@ -29,7 +29,7 @@
 #: Longest wait of a complete group for samples that are about to end, so that one batch
 #: holds them all: a trainer reads a second batch half a second later.
 _JOIN_WAIT_S: Final = 0.5
-#: The same wait once the group might be read too late. The wait still has a use, since
+#: The same wait once the group might be read too late. A short wait suffices, since
 #: samples that reach their maximum number of tokens end close together.
 _LATE_JOIN_WAIT_S: Final = 0.15
 #: Time after the due time by which a group must be written to count as on time: the
--- a/pistachioglade/decisions/_step.py
+++ b/pistachioglade/decisions/_step.py
@@ -32,7 +32,7 @@
 _STUCK_FACTOR: Final = 1.5
 #: Fraction of the median agent's token rate below which an agent is slow.
 _SLOW_RATE_FRACTION: Final = 0.6
-#: Latest samples of an agent from which its token rate is computed.
+#: Number of an agent's latest samples from which its token rate is computed.
 _RATE_WINDOW_SAMPLES: Final = 16
 
 
@@ -179,7 +179,7 @@
     def _iter_choices(
         self, available: Sequence[AgentView], agents: Sequence[AgentView]
     ) -> Iterator[tuple[str, int]]:
-        """Yield each available agent and the group whose sample it would start."""
+        """Yield each available agent with the group whose sample to start there."""
         if not self._policy.placement.group_affinity:
             yield from ((view.agent, min(self._pending)) for view in available)
             return
@@ -250,7 +250,7 @@
         return Dispatch(delayed, self._group_of[delayed], agent, hedge=True)
 
     def _find_delayed_sample(self, slow: frozenset[str], now_s: float) -> int | None:
-        """Return the oldest unhedged sample that is stuck or at a slow agent."""
+        """Return the oldest sample whose only copy is stuck or at a slow agent."""
         stuck_s = _STUCK_FACTOR * max(self._durations_s, default=0.0)
         singles = [
             (copies[0].started_s, index)
@@ -261,7 +261,7 @@
         return min(singles)[1] if singles else None
 
     def finish(self, agent: str, sample: Sample, now_s: float) -> tuple[str, ...]:
-        """Record a finished copy; return the agents that run obsolete copies of it."""
+        """Record a finished copy; return the agents with obsolete copies to cancel."""
         index = sample.index
         copies = self._running.pop(index, [])
         for duration_s in (
--- a/pistachioglade/decisions/_takeover.py
+++ b/pistachioglade/decisions/_takeover.py
@@ -51,7 +51,7 @@
 class NeighbourView:
     """The state of the neighbour as the entry that probes it knows it."""
 
-    # Time of the neighbour's last answer, or of the first probe, in seconds.
+    # Time of the neighbour's last answer, or the start of the probing, in seconds.
     heard_s: float
     # Age of the store's last answer to the neighbour, in seconds, as its last probe
     # answer says; None if unknown.
@@ -87,7 +87,7 @@
     """Return whether the neighbour is silent for too long or its process has ended.
 
     A busy neighbour answers late and is not lost: its jobs would make the next entry
-    as busy, whose jobs would be passed on again.
+    as busy, and that entry's jobs would be passed on in turn.
     """
     slow_s = min(_MAX_SILENCE_S, _SLOW_ANSWER_FACTOR * view.answer_s)
     is_silent = now_s - view.heard_s > max(_LOST_AFTER_S, slow_s)
@@ -105,7 +105,7 @@
 
 
 def is_storeless(view: NeighbourView) -> bool:
-    """Return whether only the neighbour, not this entry, has lost the store."""
+    """Return whether the neighbour has lost the store while this entry reaches it."""
     return _has_lost_store(view, _STORE_LOST_AFTER_S)
 
 
--- a/pistachioglade/errors/_kinds.py
+++ b/pistachioglade/errors/_kinds.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds, with one table from kind to answer."""
+"""The closed list of error kinds and the table from kind to answer."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ErrorKind(Enum):
-    """Every reason for which a request can fail; the list is closed."""
+    """The kinds of failure of a request; the list is closed."""
 
     BAD_REQUEST = "bad-request"
     UNAUTHENTICATED = "unauthenticated"
@@ -60,16 +60,16 @@
 
     # HTTP status code of the answer.
     status: int
-    # What the kind says about the upstream.
+    # Whether a request that fails with this kind ran at its upstream.
     execution: Execution
-    # Default time after which a caller may ask again; None for never.
+    # Default time after which a caller may retry, in seconds; None for never.
     retry_after_s: float | None
 
 
 _NOT_RUN = Execution.NOT_RUN
 _UNKNOWN = Execution.UNKNOWN
 
-#: The one table from error kind to answer.
+#: Answer of each error kind.
 ANSWERS = MappingProxyType(
     {
         ErrorKind.BAD_REQUEST: Answer(400, _NOT_RUN, None),
--- a/pistachioglade/errors/_refusal.py
+++ b/pistachioglade/errors/_refusal.py
@@ -11,13 +11,13 @@
 class Refusal:
     """A request's failure, returned in place of its result."""
 
-    # Which entry of the closed list this is.
+    # Error kind of the failure.
     kind: ErrorKind
-    # What happened, for a person to read.
+    # Human-readable description of the failure.
     reason: str
-    # Whether the request ran, which decides where it may be tried again.
+    # Whether the request ran, which decides where it may be retried.
     execution: Execution
-    # Time after which to ask again; None when asking again is of no use.
+    # Time after which to retry, in seconds; None if a retry is of no use.
     retry_after_s: float | None = None
 
     @property
@@ -31,7 +31,7 @@
         return self.execution is Execution.NOT_RUN
 
     def as_unknown(self) -> Refusal:
-        """Return this refusal without its claim about the upstream."""
+        """Return this refusal with an unknown execution."""
         return attrs.evolve(self, execution=Execution.UNKNOWN)
 
 
--- a/pistachioglade/fleet/_types.py
+++ b/pistachioglade/fleet/_types.py
@@ -1,4 +1,4 @@
-"""What a deployment consists of, in the product's own terms."""
+"""Routes, upstreams, instances, jobs and results of a deployment."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 
 
 class RouteKind(Enum):
-    """What may be repeated of a route's requests."""
+    """Whether and how a route's requests may be repeated."""
 
-    # May run more than once.
+    # Requests that may run more than once.
     IDEMPOTENT = "idempotent"
-    # May run once for each try of the caller.
+    # Requests that may run once for each attempt of the caller.
     AT_MOST_ONCE = "at-most-once"
-    # As AT_MOST_ONCE, answered by a stream of events.
+    # Requests as for AT_MOST_ONCE, answered by a stream of events.
     STREAMING = "streaming"
-    # Jobs of many items that run later.
+    # Jobs of many items that run asynchronously.
     ROLLOUT = "rollout"
 
 
 @attrs.frozen
 class Share:
-    """A part of a route's requests."""
+    """The weight of one upstream among the upstreams of a route."""
 
     # Name of the upstream.
     upstream: str
-    # Weight beside the route's other shares.
+    # Weight relative to the route's other shares.
     weight: float
 
 
@@ -37,67 +37,69 @@
 
     # Name of the route.
     name: str
-    # Host that it belongs to.
+    # Host name of the requests, without a port.
     host: str
-    # Beginning of the paths; starts and ends with a slash.
+    # Prefix of the requests' paths; starts and ends with a slash.
     prefix: str
-    # What may be repeated.
+    # Whether and how requests may be repeated.
     kind: RouteKind
-    # Upstreams with their weights; one in most cases.
+    # Upstreams with their weights; a single one in most cases.
     shares: tuple[Share, ...]
-    # Longest time that a caller is kept waiting, in seconds.
+    # Maximum time that a caller waits for an answer, in seconds.
     timeout_s: float
     # Time within which an answer has its full value, in seconds.
     aim_s: float
-    # Most instances that one request may be sent to.
+    # Maximum number of instances that one request may be sent to.
     max_attempts: int
-    # Rank; 0 is the highest.
+    # Priority of the requests; 0 is the highest.
     priority: int
-    # Whether a stream may go on at another instance.
+    # Whether a stream may resume at another instance.
     is_resumable: bool
-    # Time from the first submission to when all results are due; None if not a job.
+    # Time from a job's first submission until all its results are due, in seconds; None
+    # for routes without jobs.
     run_aim_s: float | None
-    # Time from the first submission after which items may be given up.
+    # Time from a job's first submission until its items may be given up, in seconds;
+    # None if not configured.
     retention_s: float | None
-    # Whether a result's text must come from one weight version.
+    # Whether a result's text must come from a single weight version.
     is_single_version: bool
 
 
 @attrs.frozen
 class Upstream:
-    """A service with its instances' common limits."""
+    """A service with the limits that its instances share."""
 
     # Name of the upstream.
     name: str
     # Path of the health check.
     health_path: str
-    # Connections that an instance accepts from all callers together.
+    # Connections that one instance accepts from all its clients together.
     max_connections: int
-    # Models that it runs; empty for a plain service.
+    # Models that the upstream runs; empty for a plain service.
     models: tuple[str, ...]
-    # Tokens in one event of a stream; 1 if not told.
+    # Tokens in one event of a stream; 1 if not configured.
     event_tokens: int
 
 
 @attrs.frozen
 class CallerLimits:
-    """What callers may send and how long they may take."""
+    """Limits for the size and the time of callers' requests."""
 
-    # Largest head of a request, in bytes.
+    # Maximum size of a request's header, in bytes.
     max_header_bytes: int
-    # Largest body, in bytes.
+    # Maximum size of a request's body, in bytes.
     max_body_bytes: int
-    # Time for a head to arrive, in seconds.
+    # Time within which a request's header must arrive, in seconds.
     header_timeout_s: float
-    # Time for which a connection may stay unused, in seconds.
+    # Time for which a connection may stay idle, in seconds.
     idle_timeout_s: float
 
 
 @attrs.frozen
 class Configuration:
-    """The operator's configuration, whole."""
+    """The operator's complete configuration."""
 
-    # Version; grows in uneven steps.
+    # Version of the configuration; increases, but not always by 1.
     version: int
     # All routes.
     routes: tuple[Route, ...]
@@ -109,25 +111,25 @@
 
 @attrs.frozen
 class Instance:
-    """One running instance of an upstream, as the list has it."""
+    """One running instance of an upstream, as the instance list describes it."""
 
-    # Id of the instance; it may start again under the same one.
+    # Id of the instance; a restarted instance may keep its id.
     id: str
-    # Upstream that it belongs to.
+    # Name of the instance's upstream.
     upstream: str
     # IP address.
     host: str
     # TCP port.
     port: int
-    # Failure domain.
+    # Failure domain of the instance.
     domain: str
-    # Requests that it runs at once.
+    # Number of requests that the instance runs concurrently.
     slots: int
-    # Whether it has announced that it leaves.
+    # Whether the instance has announced its shutdown.
     is_leaving: bool
-    # Weight version of each model that it holds.
+    # Weight version of each model that the instance holds.
     versions: Mapping[str, int] = attrs.field(factory=dict)
-    # When this run of it began, in milliseconds since the epoch; 0 if it doesn't say.
+    # Start of the instance's run, in milliseconds since the epoch; 0 if unknown.
     born_ms: int = 0
 
 
@@ -135,23 +137,23 @@
 class RewardCall:
     """The request that scores a finished sample."""
 
-    # Id that it carries.
+    # Id of the request.
     id: str
-    # Host whose route it takes.
+    # Host whose route the request takes.
     host: str
     # Path of the request.
     path: str
-    # Body.
+    # Body of the request.
     body: bytes
 
 
 @attrs.frozen
 class Item:
-    """One sample that a job asks for."""
+    """One sample that a job requests."""
 
     # Id of the item.
     id: str
-    # Group whose prompt it shares; empty outside groups.
+    # Group of items that share the item's prompt; the item's id without a group.
     group: str
     # Path of the request.
     path: str
@@ -159,31 +161,31 @@
     fields: tuple[tuple[str, str], ...]
     # Body of the request.
     body: bytes
-    # Prompt tokens and most output tokens together.
+    # Prompt tokens plus maximum output tokens.
     tokens: int
-    # Caller's estimate of the output's tokens; None if there is none.
+    # Caller's estimate of the output tokens; None without an estimate.
     expected_tokens: int | None
-    # Most output tokens; None if the caller doesn't say.
+    # Maximum output tokens; None if the caller sets no limit.
     most_tokens: int | None
-    # What scores its text; None if nothing does.
+    # Request that scores the item's text; None if the text is not scored.
     reward: RewardCall | None
 
 
 @attrs.frozen
 class Job:
-    """A trainer's step: many items submitted at once."""
+    """A trainer's step: many items in one submission."""
 
     # Id of the job.
     id: str
-    # Host that it was submitted to.
+    # Host that the job was submitted to.
     host: str
-    # Path that it was submitted to.
+    # Path that the job was submitted to.
     path: str
-    # Model that makes the samples; empty if not told.
+    # Model that generates the samples; empty if the submission names none.
     model: str
-    # Oldest weight version that may make any of its tokens.
+    # Oldest weight version that may generate any of the job's tokens.
     min_version: int
-    # Whole groups that the trainer waits for.
+    # Number of complete groups that the trainer waits for.
     target_groups: int
     # Number of the step.
     step: int
@@ -193,15 +195,15 @@
 
 @attrs.frozen
 class Result:
-    """What became of an item."""
+    """The outcome of an item."""
 
-    # Item that it belongs to.
+    # Id of the item.
     item_id: str
-    # Whether the text is whole; an item that was given up is not.
+    # Whether the text is complete; False for an item that was given up.
     is_completed: bool
     # Data of all events, separated by line feeds.
     text: str = ""
-    # All weight versions that made an event of the text, ascending.
+    # Weight versions that generated any event of the text, ascending.
     versions: tuple[int, ...] = ()
     # Signature of the reward call's answer.
     score: str = ""
--- a/pistachioglade/logs/_logs.py
+++ b/pistachioglade/logs/_logs.py
@@ -1,4 +1,4 @@
-"""JSON lines through structlog, bounded in volume and never blocking."""
+"""JSON log lines through structlog, rate-limited and non-blocking."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 import structlog
 
-#: Lines that a process may write in a second. A decision takes one line and the
-#: heaviest days have some hundred decisions a second on one node.
+#: Rate limit of a process, in lines per second. Each decision takes one line, and the
+#: days with the highest load have some hundred decisions per second on one node.
 LINES_PER_S: Final = 400
-#: Lines that may be saved up for a burst.
+#: Maximum number of lines in a burst: the capacity of the token bucket.
 _BURST_LINES: Final = 1200
 
 
 class BoundedWriter:
-    """Writes lines to a descriptor; drops and counts what is too much.
+    """Writes lines to a descriptor and drops and counts lines above the rate limit.
 
-    A reader that doesn't keep up costs lines, never the time of a request.
+    A slow reader causes dropped lines and never delays a request.
     """
 
     def __init__(
@@ -36,61 +36,61 @@
         self._clock = clock
         self._lines_per_s = lines_per_s
         self._tokens = float(_BURST_LINES)
-        self._filled_s = clock()
-        # What a short write has left over.
-        self._rest = b""
-        # Lines dropped since the last line that told of any.
-        self._untold = 0
-        # Lines dropped in all.
+        self._refilled_s = clock()
+        # Remainder of a partially written line.
+        self._remainder = b""
+        # Lines dropped since the last report of dropped lines.
+        self._unreported = 0
+        # Lines dropped since the start.
         self.dropped = 0
         os.set_blocking(descriptor, False)
 
     def __call__(self, line: str) -> None:
         """Write a line, or count it as dropped."""
-        if not self._take() or not self._finish_last():
-            self._drop()
+        if not self._take_token() or not self._write_remainder():
+            self._count_dropped()
             return
         text = line
-        if self._untold:
-            told = {"event": "lines-dropped", "count": self._untold}
-            text += "\n" + json.dumps(told | {"node": self._node})
+        if self._unreported:
+            report = {"event": "lines-dropped", "count": self._unreported}
+            text += "\n" + json.dumps(report | {"node": self._node})
         if self._write(text.encode() + b"\n"):
-            self._untold = 0
+            self._unreported = 0
         else:
-            self._drop()
+            self._count_dropped()
 
-    def _take(self) -> bool:
+    def _take_token(self) -> bool:
         now_s = self._clock()
-        gained = (now_s - self._filled_s) * self._lines_per_s
+        gained = (now_s - self._refilled_s) * self._lines_per_s
         self._tokens = min(_BURST_LINES, self._tokens + gained)
-        self._filled_s = now_s
+        self._refilled_s = now_s
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
         return True
 
-    def _drop(self) -> None:
+    def _count_dropped(self) -> None:
         self.dropped += 1
-        self._untold += 1
+        self._unreported += 1
 
-    def _finish_last(self) -> bool:
-        """Write what is left of the last line; return whether nothing is."""
-        if self._rest and not self._write(self._rest):
+    def _write_remainder(self) -> bool:
+        """Write the remainder of the last line; return whether nothing remains."""
+        if self._remainder and not self._write(self._remainder):
             return False
-        return not self._rest
+        return not self._remainder
 
     def _write(self, data: bytes) -> bool:
-        """Return whether the data went out or its rest is kept for the next line."""
+        """Write data and keep the remainder; return False if the write would block."""
         try:
             written = os.write(self._descriptor, data)
         except BlockingIOError:
             return False
-        self._rest = data[written:]
+        self._remainder = data[written:]
         return True
 
 
 class _LineLogger:
-    """The logger that structlog hands finished lines to."""
+    """Logger that passes structlog's rendered lines to a bounded writer."""
 
     def __init__(self, write: BoundedWriter) -> None:
         self.msg = write
@@ -99,14 +99,14 @@
 
 
 def configure_logs(node: str, program: str, stream: TextIO = sys.stderr) -> None:
-    """Write every log line of this process as JSON, with its node."""
+    """Write the log lines of this process to ``stream`` as JSON, with the node."""
     configure_lines(
         node, program, structlog.PrintLoggerFactory(stream), (_iso_timestamp(),)
     )
 
 
 def configure_bounded_logs(node: str, program: str) -> BoundedWriter:
-    """As :func:`configure_logs`, on standard output, bounded and never blocking."""
+    """Write the log lines as :func:`configure_logs`, to a bounded standard output."""
     writer = BoundedWriter(sys.stdout.fileno(), node=node)
     configure_lines(node, program, lambda *_: _LineLogger(writer), (_iso_timestamp(),))
     return writer
@@ -115,7 +115,7 @@
 def configure_lines(
     node: str, program: str, factory: Any, extra: tuple[Any, ...]
 ) -> None:
-    """Set structlog up with a factory of loggers that take finished lines."""
+    """Configure structlog with a factory of loggers that take rendered lines."""
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
--- a/pistachioglade/logs/tests/test_logs.py
+++ b/pistachioglade/logs/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs stay bounded and never block."""
+"""Rate limit of log lines and writes that don't block."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
         parts.append(part)
 
 
-def test_too_many_lines_are_dropped_and_counted() -> None:
+def test_lines_above_the_rate_limit_are_dropped_and_counted() -> None:
     reader, writer_end = os.pipe()
     clock = _Clock()
     writer = BoundedWriter(writer_end, clock, lines_per_s=10.0, node="a")
@@ -38,11 +38,11 @@
     clock.now_s = 1.0
     writer(json.dumps({"event": "later"}))
     lines = [json.loads(line) for line in _read(reader).splitlines()]
-    told = {"event": "lines-dropped", "count": 300, "node": "a"}
-    assert lines == [{"event": "later"}, told]
+    report = {"event": "lines-dropped", "count": 300, "node": "a"}
+    assert lines == [{"event": "later"}, report]
 
 
-def test_a_reader_that_does_not_keep_up_costs_lines_only() -> None:
+def test_a_slow_reader_loses_lines_and_does_not_block() -> None:
     reader, writer_end = os.pipe()
     writer = BoundedWriter(writer_end, _Clock())
     line = json.dumps({"text": "x" * 1000})
@@ -55,11 +55,11 @@
     assert all(json.loads(item) for item in lines)
 
 
-def test_a_reader_that_is_behind_sees_whole_lines_only() -> None:
-    """Found by reading: the rest of a half written line was forgotten."""
+def test_a_slow_reader_sees_only_complete_lines() -> None:
+    """Guards against the loss of the remainder of a partially written line."""
     reader, writer_end = os.pipe()
     writer = BoundedWriter(writer_end, _Clock(), lines_per_s=1e9)
-    # The pipe holds 64 kB; a line longer than 4 kB goes in as far as there is room.
+    # The pipe holds 64 kB; a line longer than 4 kB is written as far as it fits.
     for number in range(10):
         writer(json.dumps({"n": number, "pad": "x" * 9990}))
     seen = _read(reader)
--- a/pistachioglade/metrics/__init__.py
+++ b/pistachioglade/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of the serving programs, and their address."""
+"""Counters and latency histograms of the serving programs, and their HTTP endpoint."""
 
 from ._metrics import Metrics
 from ._server import METRICS_PATH, METRICS_PORT_VARIABLE, serve_metrics
--- a/pistachioglade/metrics/_metrics.py
+++ b/pistachioglade/metrics/_metrics.py
@@ -1,4 +1,4 @@
-"""What a serving program counts; names are explained in docs/OPERATIONS.md."""
+"""The metrics of a serving program; docs/OPERATIONS.md explains their names."""
 
 from __future__ import annotations
 
@@ -8,16 +8,20 @@
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
 from prometheus_client.exposition import generate_latest
 
-#: Bounds of lookups' times, in seconds, around their aims of 0.15 to 0.43 s.
+#: Bucket bounds for the times of lookups, around their targets of 0.15 to 0.43 s.
 _CALL_BOUNDS_S: Final = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6)
-#: Bounds of the store's times, in seconds, around its 4 ms and its limit of 1 s.
+#: Bucket bounds for the times of store calls, around the usual 4 ms and the limit of
+#: 1 s.
 _STORE_BOUNDS_S: Final = (0.005, 0.01, 0.025, 0.1, 0.25, 1.0)
-#: Bounds of samples' and results' times, in seconds, around a step's 7.5 s.
+#: Bucket bounds for the times of samples and results, around a step's 7.5 s.
 _SAMPLE_BOUNDS_S: Final = (0.1, 0.25, 0.5, 1.0, 2.0, 4.0, 8.0, 16.0)
 
 
 class Metrics:
-    """One process's counters; a registry of its own, so that tests have fresh ones."""
+    """The metrics of one process.
+
+    Each object has its own registry, so that each test starts with fresh metrics.
+    """
 
     def __init__(self) -> None:
         self._registry = CollectorRegistry()
@@ -104,37 +108,37 @@
         self._unreadable.labels(kind).inc()
 
     def gauge(self, name: str, text: str, read: Callable[[], float]) -> None:
-        """Expose a value that is read when it is asked for."""
+        """Expose a value that ``read`` returns at each scrape."""
         Gauge(name, text, registry=self._registry).set_function(read)
 
     def request_answered(self, call: str, status: int, took_s: float) -> None:
-        """Count a caller's request."""
+        """Count a caller's answered request and its time."""
         self._requests.labels(call, status).inc()
         self._request_s.labels(call).observe(took_s)
 
     def tried(self, outcome: str) -> None:
-        """Count a request that went to an instance."""
+        """Count an attempt at an instance."""
         self._tries.labels(outcome).inc()
 
     def stream_ended(self, end: str) -> None:
-        """Count a caller's stream that had begun."""
+        """Count the end of a caller's stream that had begun."""
         self._streams.labels(end).inc()
 
     def item_tried(self, outcome: str, took_s: float) -> None:
-        """Count a try of a sample."""
+        """Count an attempt at a sample and its time."""
         self._item_tries.labels(outcome).inc()
         self._item_s.observe(took_s)
 
     def results_listed(self, count: int, oldest_age_s: float) -> None:
-        """Count a batch of results."""
+        """Count the results of a batch in the store and record the oldest age."""
         self._results.inc(count)
         self._result_age_s.observe(oldest_age_s)
 
     def store_called(self, method: str, outcome: str, took_s: float) -> None:
-        """Count a call to the store."""
+        """Count a call to the store and its time."""
         self._store_calls.labels(method, outcome).inc()
         self._store_s.observe(took_s)
 
     def text(self) -> bytes:
-        """Return everything in the usual text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
--- a/pistachioglade/metrics/_server.py
+++ b/pistachioglade/metrics/_server.py
@@ -1,4 +1,4 @@
-"""The address at which metrics are read."""
+"""The HTTP endpoint of the metrics."""
 
 from __future__ import annotations
 
@@ -7,14 +7,15 @@
 from ..http1 import HttpServer, Reply, Request, Response, ServerLimits
 from ._metrics import Metrics
 
-#: Environment variable with the port; the deploy file sets it. No metrics without it.
+#: Environment variable with the port, set by the deploy file. Without the variable,
+#: metrics are not served.
 METRICS_PORT_VARIABLE: Final = "PISTACHIOGLADE_METRICS_PORT"
 METRICS_PATH: Final = "/metrics"
 _TYPE: Final = (("Content-Type", "text/plain; version=0.0.4; charset=utf-8"),)
 
 
 async def serve_metrics(metrics: Metrics, host: str, port: int) -> HttpServer:
-    """Answer reads of the metrics until the process ends."""
+    """Start a server that answers scrapes of the metrics and return it."""
 
     async def answer(request: Request, reply: Reply) -> None:
         if request.path == METRICS_PATH:
--- a/pistachioglade/metrics/tests/test_metrics.py
+++ b/pistachioglade/metrics/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics as they are read over HTTP."""
+"""Metrics that are scraped over HTTP."""
 
 from __future__ import annotations
 
--- a/pistachioglade/tasks/__init__.py
+++ b/pistachioglade/tasks/__init__.py
@@ -1,4 +1,4 @@
-"""Background work that is watched over."""
+"""Supervision of background work."""
 
 from ._supervisor import Supervisor, Work
 
--- a/pistachioglade/tasks/_supervisor.py
+++ b/pistachioglade/tasks/_supervisor.py
@@ -1,4 +1,4 @@
-"""Starts background work again when it fails, and tells of each failure."""
+"""Restarts failed background work with backoff and reports each failure."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 from ..logs import logger
 from ..metrics import Metrics
 
-#: Begins work; called again for each start.
+#: Function that runs the work; called again for each restart.
 Work = Callable[[], Awaitable[None]]
 
 
 class Supervisor:
-    """Runs the work that a program lives by."""
+    """Runs the background work that a program depends on and restarts failed work."""
 
     def __init__(
         self,
         metrics: Metrics,
-        on_hopeless: Callable[[], None],
+        on_give_up: Callable[[], None],
         rng: random.Random | None = None,
     ) -> None:
         self._metrics = metrics
-        # Called when work is given up: the program can't go on without it.
-        self._on_hopeless = on_hopeless
+        # Called when work is given up, since the program can't run without that work.
+        self._on_give_up = on_give_up
         self._rng = rng or random.Random()
         self._log = logger(__name__)
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(self, name: str, work: Work, may_end: bool = False) -> None:
-        """Run work until :meth:`stop`; an end is a failure unless it may end."""
+        """Run work until :meth:`stop`; its return is a failure unless ``may_end``."""
         running = self._run(name, work, may_end)
         task = asyncio.get_running_loop().create_task(running)
         self._tasks.add(task)
@@ -46,28 +46,28 @@
         clock = asyncio.get_running_loop().time
         failures = 0
         while True:
-            begun_s = clock()
-            error = await self._failure(work)
+            started_s = clock()
+            error = await self._run_once(work)
             if error is None and may_end:
                 return
-            failures = failures_in_a_row(failures, clock() - begun_s)
+            failures = failures_in_a_row(failures, clock() - started_s)
             self._metrics.task_failed(name)
             self._log.error(
                 "task-failed",
                 task=name,
                 failures=failures,
-                ran_s=round(clock() - begun_s, 3),
+                ran_s=round(clock() - started_s, 3),
                 is_given_up=is_hopeless(failures),
                 exc_info=error,
             )
             if is_hopeless(failures):
-                self._on_hopeless()
+                self._on_give_up()
                 return
             await asyncio.sleep(restart_pause_s(failures, self._rng.random()))
 
     @staticmethod
-    async def _failure(work: Work) -> Exception | None:
-        """Run work once; return the error that ended it, None for an end without."""
+    async def _run_once(work: Work) -> Exception | None:
+        """Run work once; return its error, or None if it returned without error."""
         try:
             await work()
         except Exception as error:
