--- a/pistachioglade/decisions/_choice.py
+++ b/pistachioglade/decisions/_choice.py
@@ -1,9 +1,9 @@
-"""Which agent an entry sends a call to.
+"""Chooses the agent that an entry sends a call to.
 
-The entry prefers the least loaded of two random candidates, counts its own
-dispatches, and ejects an agent that fails or is slow beside its peers: slow but
-alive is worse than dead, since nobody else notices. Never more than a part of
-the agents is ejected.
+The entry prefers the less loaded of two random candidates, counts its own
+dispatches, and ejects an agent that fails or that is slow compared with its peers.
+A slow agent harms more than a dead agent, since nothing else detects it. Only a
+fraction of the agents may be ejected at once.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 
 import attrs
 
-#: Answers that are remembered for each agent.
+#: Number of answer times kept for each agent.
 _WINDOW: Final = 32
-#: Answers that an agent needs before it can be called slow.
+#: Number of answer times from which an agent is compared with its peers.
 _MIN_ANSWERS: Final = 8
 
 
@@ -26,18 +26,20 @@
 class ChooserSettings:
     """Limits of ejection."""
 
-    # Failures in a row after which an agent is ejected.
+    # Consecutive failures after which an agent is ejected.
     failures_in_row: int = 3
-    # An agent is slow when its median is so many times that of its peers...
+    # Ratio of an agent's median answer time to that of its peers above which the agent
+    # is slow, if the margin below is exceeded too.
     slow_factor: float = 3.0
-    # ...and so much above it.
+    # Difference between the two medians above which an agent is slow, in seconds.
     slow_margin_s: float = 0.05
-    # Time of the first ejection; doubles with each that follows.
+    # Duration of the first ejection in seconds; each further ejection takes twice as
+    # long.
     eject_s: float = 2.0
-    # Longest ejection.
+    # Longest ejection in seconds.
     max_eject_s: float = 30.0
-    # Largest part of the agents that may be ejected at once.
-    max_ejected_part: float = 0.34
+    # Largest fraction of the agents that may be ejected at once.
+    max_ejected_fraction: float = 0.34
 
 
 @attrs.frozen
@@ -52,27 +54,27 @@
 
 @attrs.define
 class _AgentRecord:
-    # Calls that this entry has there.
+    # In-flight calls of this entry at the agent.
     outstanding: int = 0
     # Failures since the last answer.
     failures: int = 0
-    # Times of the last answers.
+    # Durations of the last calls that were answered, in seconds.
     answer_s: deque[float] = attrs.field(factory=lambda: deque(maxlen=_WINDOW))
-    # End of the ejection.
+    # Monotonic time at which the ejection ends.
     ejected_until_s: float = 0.0
-    # How many ejections followed each other.
+    # Ejections since the agent's last full window of answers.
     ejections: int = 0
 
 
 class CallChooser:
-    """The entry's memory of one upstream's agents."""
+    """Chooses among the agents of one upstream by the entry's own calls."""
 
     def __init__(self, settings: ChooserSettings, rng: random.Random) -> None:
         self._settings = settings
         self._rng = rng
         self._records: dict[str, _AgentRecord] = {}
 
-    def _record(self, agent: str) -> _AgentRecord:
+    def _record_of(self, agent: str) -> _AgentRecord:
         return self._records.setdefault(agent, _AgentRecord())
 
     def choose(
@@ -82,13 +84,13 @@
         tried: Iterable[str],
         now_s: float,
     ) -> str | None:
-        """Return the agent for the next try, or None when all were tried."""
-        passed = set(tried)
-        fresh = [item for item in candidates if item.agent not in passed]
-        if not fresh:
+        """Return the agent for the next try, or None if all were tried."""
+        excluded = set(tried)
+        untried = [item for item in candidates if item.agent not in excluded]
+        if not untried:
             return None
-        open_ones = [item for item in fresh if not self._is_ejected(item.agent, now_s)]
-        pair = self._sample(open_ones or fresh)
+        usable = [item for item in untried if not self._is_ejected(item.agent, now_s)]
+        pair = self._sample(usable or untried)
         best = min(pair, key=lambda item: self._rank(item, own_domain))
         return best.agent
 
@@ -96,23 +98,23 @@
         return self._rng.sample(candidates, min(2, len(candidates)))
 
     def _rank(self, candidate: Candidate, own_domain: str) -> tuple[int, bool]:
-        record = self._record(candidate.agent)
+        record = self._record_of(candidate.agent)
         return record.outstanding, candidate.domain != own_domain
 
     def _is_ejected(self, agent: str, now_s: float) -> bool:
-        return self._record(agent).ejected_until_s > now_s
+        return self._record_of(agent).ejected_until_s > now_s
 
-    def ejected(self, now_s: float) -> tuple[str, ...]:
-        """Return the agents that are ejected now."""
+    def ejected_agents(self, now_s: float) -> tuple[str, ...]:
+        """Return the agents that are ejected at ``now_s``."""
         return tuple(name for name in self._records if self._is_ejected(name, now_s))
 
     def sent(self, agent: str) -> None:
-        """Count a call that goes out."""
-        self._record(agent).outstanding += 1
+        """Record that a call is sent to an agent."""
+        self._record_of(agent).outstanding += 1
 
     def answered(self, agent: str, answer_s: float, now_s: float) -> None:
-        """Count an answer, and eject the agent if it has become slow."""
-        record = self._record(agent)
+        """Record an answer, and eject the agent if it has become slow."""
+        record = self._record_of(agent)
         record.outstanding -= 1
         record.failures = 0
         record.answer_s.append(answer_s)
@@ -123,8 +125,8 @@
             record.ejections = 0
 
     def failed(self, agent: str, now_s: float) -> None:
-        """Count a failure, and eject the agent after several in a row."""
-        record = self._record(agent)
+        """Record a failure, and eject the agent after several in a row."""
+        record = self._record_of(agent)
         record.outstanding -= 1
         record.failures += 1
         if record.failures >= self._settings.failures_in_row:
@@ -132,7 +134,7 @@
             self._eject(agent, now_s)
 
     def _is_slow(self, agent: str) -> bool:
-        own = self._record(agent).answer_s
+        own = self._record_of(agent).answer_s
         others = [
             median(record.answer_s)
             for name, record in self._records.items()
@@ -147,10 +149,10 @@
         return median(own) > limit_s
 
     def _eject(self, agent: str, now_s: float) -> None:
-        allowed = int(self._settings.max_ejected_part * len(self._records))
-        if len(self.ejected(now_s)) >= allowed:
+        allowed = int(self._settings.max_ejected_fraction * len(self._records))
+        if len(self.ejected_agents(now_s)) >= allowed:
             return
-        record = self._record(agent)
+        record = self._record_of(agent)
         wait_s = self._settings.eject_s * 2.0**record.ejections
         record.ejections = min(record.ejections + 1, 10)
         record.ejected_until_s = now_s + min(wait_s, self._settings.max_eject_s)
--- a/pistachioglade/decisions/_crash_quarantine.py
+++ b/pistachioglade/decisions/_crash_quarantine.py
@@ -20,18 +20,20 @@
 #: Pause before each trial run of a quarantined request. The number of trials bounds
 #: the number of further crashes.
 _TRIAL_PAUSES_S: Final = (30.0, 120.0, 600.0)
-#: How long a request waits for a second instance of its upstream. After that it runs
-#: on the only instance, so that an upstream with one instance still serves it.
+#: Time for which a request waits for a second instance of its upstream. After that the
+#: request runs on the only instance, so that an upstream with one instance still
+#: serves the request.
 _SPARE_WAIT_S: Final = 10.0
 #: Retry-After of a request that waits for a second instance.
 _REPLACEMENT_WAIT_S: Final = 2.0
-#: Retry-After while another run of the request is in progress, and the minimum of any.
+#: Retry-After while another run of the request is in progress, and the minimum of
+#: every Retry-After.
 _RUN_WAIT_S: Final = 0.2
 #: First pause of a sample that has crashed engines.
 _SAMPLE_PAUSE_S: Final = 1.0
-#: Most doublings of that pause. Keeps the longest pause below five seconds, the limit
-#: for which a sample of an open job may be at no engine.
-_MOST_SAMPLE_DOUBLINGS: Final = 2
+#: Maximum number of doublings of that pause. Keeps the longest pause below five
+#: seconds, the limit for which a sample of an open job may be at no engine.
+_MAX_SAMPLE_DOUBLINGS: Final = 2
 #: Retention of the history of a request that isn't quarantined.
 _SUSPECT_RETENTION_S: Final = 600.0
 #: Retention of the history of a quarantined request.
@@ -53,13 +55,14 @@
 class CrashHistory:
     """Crash history of one request across all its request ids."""
 
-    # Instances that ended while running it, since an instance last answered it.
+    # Instances that ended while running the request, since an instance last answered
+    # the request.
     crashes: int
-    # Trial runs claimed since it was quarantined.
+    # Trial runs claimed since the request was quarantined.
     trials: int
     # Seconds since this node last saw either count change.
     unchanged_s: float
-    # Whether this node has a run of it in progress.
+    # Whether this node has a run of the request in progress.
     is_running: bool
 
 
@@ -67,7 +70,7 @@
 class Verdict:
     """Admission decision for a request."""
 
-    # Whether it may be sent.
+    # Whether the request may be sent.
     admission: Admission
     # Human-readable reason for a refusal.
     reason: str = ""
@@ -86,7 +89,8 @@
 def judge_request(history: CrashHistory, open_instances: int) -> Verdict:
     """Return the admission decision for a request.
 
-    ``open_instances`` is the number of instances of its upstream that can run it.
+    ``open_instances`` is the number of instances of its upstream that can run the
+    request.
     """
     if history.crashes < SUSPECT_CRASHES:
         return _SEND
@@ -112,12 +116,12 @@
 def sample_pause_s(crashes: int) -> float:
     """Return the pause after a sample's latest crash in a row.
 
-    Samples are delayed rather than refused, since they stay with their job until its
-    trainer ends it.
+    Samples are delayed rather than refused, since a sample stays with its job until the
+    trainer ends the job.
     """
     if not is_quarantined(crashes):
         return 0.0
-    doublings = min(crashes - QUARANTINE_CRASHES, _MOST_SAMPLE_DOUBLINGS)
+    doublings = min(crashes - QUARANTINE_CRASHES, _MAX_SAMPLE_DOUBLINGS)
     return _SAMPLE_PAUSE_S * float(2**doublings)
 
 
--- a/pistachioglade/decisions/_engine_orders.py
+++ b/pistachioglade/decisions/_engine_orders.py
@@ -1,8 +1,9 @@
-"""Who gives an engine its orders, and when a new holder may begin.
+"""Decides which process sends an engine its orders, and from when a new holder may.
 
-The load it answers: engines with no process of ours beside them, or whose process is
-dead or cut off, while trainers name a version every few seconds. Orders of two holders
-to one engine must not alternate within a lease, whatever either of them believes.
+Expected load: engines without a process of this service beside them, or whose process
+is dead or cut off, while trainers name a version every few seconds. Orders of two lease
+holders to one engine must not alternate within a lease, even if both holders believe
+that the lease is theirs.
 """
 
 from __future__ import annotations
@@ -12,16 +13,17 @@
 
 from ._hashing import rendezvous_order
 
-#: Longest time between the store's word that a lease is held and the arrival of the
-#: order that rests on it: one call to the store and one to the engine.
+#: Longest time between the store's confirmation of a lease and the arrival of an order
+#: that relies on the confirmation: one call to the store and one call to the engine.
 ORDER_WINDOW_S: Final = 2.0
 
 
 def first_order_wait_s(lease_s: float, released_idle_s: float | None = None) -> float:
     """Return the time from taking a lease to the first order under it.
 
-    The holder before may have sent an order just before the lease was taken, unless it
-    has released it; ``released_idle_s`` is the time since its last order by then.
+    The earlier holder may have sent an order just before the lease was taken, unless
+    the earlier holder has released the lease. ``released_idle_s`` is the time from its
+    last order to that release; None if the lease was not released.
     """
     if released_idle_s is None:
         return lease_s + ORDER_WINDOW_S
@@ -31,12 +33,14 @@
 def may_take_orders(is_held_beside: bool, is_beside: bool, checks_fences: bool) -> bool:
     """Whether a process may take the lease of an engine from its holder.
 
-    The process beside an engine doesn't renew its lease, so that only an engine that
-    checks fencing tokens stops it once another process has taken over.
+    A process beside the engine may always take the lease. Any other process may take
+    the lease of a process beside the engine only if the engine checks fencing tokens:
+    the process beside an engine doesn't renew its lease, so that nothing else stops its
+    orders after another process has taken over.
     """
     return is_beside or not is_held_beside or checks_fences
 
 
 def attendant_of(engine: str, entries: Iterable[str]) -> str | None:
-    """Return the entry that orders an engine's weights while none beside it does."""
+    """Return the entry that sends an engine's orders if no process beside it does."""
     return next(iter(rendezvous_order(engine, entries)), None)
--- a/pistachioglade/decisions/_instance_choice.py
+++ b/pistachioglade/decisions/_instance_choice.py
@@ -1,8 +1,9 @@
-"""Which instance of an upstream gets a request, and which are left alone for a while.
+"""Chooses the instance of an upstream for a request, and sets cooldowns of instances.
 
-The load it answers: a few lookups a second beside bursts of some sixty samples from
-several nodes at once, on instances that turn slow, silent or wrong without warning.
-Each node sees its own requests at once and those of others by the instance's last word.
+Expected load: a few lookups per second beside bursts of about sixty samples that
+several nodes send at once, on instances that turn slow, silent or faulty without
+warning. A node knows its own requests immediately, and those of other nodes from the
+latest load report of the instance.
 """
 
 from __future__ import annotations
@@ -15,192 +16,208 @@
 
 from ._instance_refusals import InstanceRefusal
 
-#: Time for which an instance's word on its load is believed: about the work of two
-#: lookups, or a tenth of a sample.
-_LOAD_WORD_S: Final = 0.3
-#: Time for which another home's samples count that it told of.
-_TOLD_S: Final = 0.6
-#: What leaving an engine to the home that prefers it is worth, as a part of the slots.
-_PART_WORTH: Final = 0.5
-#: First rest of an instance that failed; an instance that only dropped one answer is
-#: back before the next burst.
-_FIRST_REST_S: Final = 0.25
-#: Longest rest: the list of instances drops a dead one within three heartbeats.
-_LONGEST_REST_S: Final = 3.0
+#: Time for which an instance's load report counts: about the work of two lookups, or a
+#: tenth of a sample's.
+_LOAD_REPORT_TTL_S: Final = 0.3
+#: Time for which another job owner's report of its running samples counts.
+_OWNER_REPORT_TTL_S: Final = 0.6
+#: Load added to an engine that another job owner prefers, as a fraction of its slots.
+_OTHER_OWNER_PENALTY: Final = 0.5
+#: First cooldown of an instance that failed. An instance that only dropped one answer
+#: is available again before the next burst.
+_FIRST_COOLDOWN_S: Final = 0.25
+#: Longest cooldown. A dead instance leaves the list of instances within three
+#: heartbeats.
+_MAX_COOLDOWN_S: Final = 3.0
 #: First pause of an instance that refused: about the time until one of its slots is
 #: free.
-_FIRST_PAUSE_S: Final = 0.06
-#: Longest such pause: the end of a load of weights should be seen soon.
-_LONGEST_PAUSE_S: Final = 0.25
-#: Load, as a part of the slots, that staying in the failure domain may cost.
-_DOMAIN_WORTH: Final = 0.34
-#: What sharing a prompt with running samples is worth, as a part of the slots: a home
-#: is left only once it is full.
-_GROUP_WORTH: Final = 0.6
-#: Added to the load of an instance that rests, is slow, or is full, so that such a one
-#: is taken only if no other is left.
+_FIRST_REFUSAL_PAUSE_S: Final = 0.06
+#: Longest pause of an instance that refused. The end of a load of weights has to be
+#: noticed soon.
+_MAX_REFUSAL_PAUSE_S: Final = 0.25
+#: Load added to an instance of another failure domain, as a fraction of its slots.
+_REMOTE_DOMAIN_PENALTY: Final = 0.34
+#: Load subtracted from an instance that runs samples with the same prompt, as a
+#: fraction of its slots. With this value samples go elsewhere only once the
+#: instance is full.
+_SHARED_PROMPT_BONUS: Final = 0.6
+#: Load added to an instance that is slow, in a cooldown, or full, so that such an
+#: instance is chosen only if no other remains.
 _SLOW_PENALTY: Final = 4.0
-_REST_PENALTY: Final = 16.0
+_COOLDOWN_PENALTY: Final = 16.0
 _FULL_PENALTY: Final = 8.0
-#: An instance is slow when its events take so many times as long as the median's: the
-#: speeds of sound instances differ by less than a third.
+#: Ratio of an instance's event gap to the median gap above which the instance is slow.
+#: The speeds of healthy instances differ by less than a third.
 SLOW_FACTOR: Final = 1.6
-#: Part by which an instance's pace may lie behind the fastest one's before it counts:
-#: neighbours on an instance and the way of an event move it by as much.
+#: Fraction of the fastest gap by which an instance's gap may exceed the fastest one
+#: without effect. Other requests on an instance and network delays of events change a
+#: gap by as much.
 _PACE_TOLERANCE: Final = 0.1
-#: Time that a sample would lose at an instance that weighs as much as a full load.
-_FULL_LOAD_WORTH_S: Final = 1.0
-#: Weight of the newest gap in an instance's pace.
+#: Delay of a sample at an instance that counts as much as a fully loaded instance.
+_FULL_LOAD_DELAY_S: Final = 1.0
+#: Weight of the newest gap in an instance's mean gap.
 _PACE_WEIGHT: Final = 0.2
-#: A gap so many times the pace is a halt (new weights, a preemption), not a pace.
-_HALT_FACTOR: Final = 12.0
-#: Time for which a pace is believed.
-_PACE_WORD_S: Final = 6.0
+#: Ratio to the mean gap from which a gap is a stall (new weights, a preemption) and
+#: doesn't count in the mean.
+_STALL_FACTOR: Final = 12.0
+#: Time for which a mean gap counts.
+_PACE_TTL_S: Final = 6.0
 
 
 def _refusal_pause_s(earlier: int) -> float:
-    """Return the pause behind a refusal that so many others went before."""
-    return float(min(_LONGEST_PAUSE_S, _FIRST_PAUSE_S * 2.0**earlier))
+    """Return the pause after a refusal that follows ``earlier`` other refusals."""
+    return float(min(_MAX_REFUSAL_PAUSE_S, _FIRST_REFUSAL_PAUSE_S * 2.0**earlier))
 
 
 @attrs.define
 class InstanceRecord:
-    """What this node knows of one instance's load and conduct."""
+    """Load, failures and speed of one instance as this node knows them."""
 
     # Failure domain.
     domain: str
-    # Requests that it runs at once.
+    # Requests that the instance runs at once.
     slots: int
-    # Requests of this node there now.
+    # In-flight requests of this node at the instance.
     outstanding: int = 0
-    # Samples of other homes, by home, with when they told of them.
+    # Running samples of other job owners and the monotonic time of their report, by
+    # owner.
     told: dict[str, tuple[int, float]] = attrs.field(factory=dict)
-    # Requests of other nodes, by the instance's last load report.
-    others: int = 0
-    # When it said so.
-    others_s: float = float("-inf")
+    # In-flight requests of other nodes, by the instance's last load report.
+    reported_others: int = 0
+    # Monotonic time of that report.
+    load_reported_s: float = float("-inf")
     # Failures since the last good answer.
     failures: int = 0
     # Refusals since the last good answer.
     refusals: int = 0
-    # Until when it rests.
-    rests_until_s: float = float("-inf")
-    # Time between two events of a stream; None before any.
+    # Monotonic time until which the instance is in a cooldown.
+    cooldown_until_s: float = float("-inf")
+    # Mean time between two events of a stream, in seconds; None before any.
     event_gap_s: float | None = None
-    # When the pace was last seen.
-    paced_s: float = float("-inf")
-    # Weight version that it was last seen with, by model.
+    # Monotonic time of the last measured gap.
+    gap_measured_s: float = float("-inf")
+    # Newest weight version seen at the instance, by model.
     versions: dict[str, int] = attrs.field(factory=dict)
-    # Until when it is taken to load a model's weights, by model.
-    loads_until_s: dict[str, float] = attrs.field(factory=dict)
-    # Refusals of a model since its last good answer, by model.
+    # Monotonic time until which the instance is expected to load weights, by model.
+    loading_until_s: dict[str, float] = attrs.field(factory=dict)
+    # Refusals of a model's requests while the instance loads its weights, since the
+    # last good answer, by model.
     load_refusals: dict[str, int] = attrs.field(factory=dict)
-    # Whether it is left alone for a moment after a failure.
+    # Whether cooldowns apply to the instance.
     may_rest: bool = True
-    # Whether it has answered since it was listed, so that it is where the list says.
+    # Whether the instance has answered since its listing, so that the listed address is
+    # right.
     has_answered: bool = True
 
     def load(self, now_s: float) -> int:
-        """Return the requests that are there as far as this node can tell."""
-        is_believed = now_s - self.others_s < _LOAD_WORD_S
+        """Return the in-flight requests at the instance that this node knows of."""
+        is_report_valid = now_s - self.load_reported_s < _LOAD_REPORT_TTL_S
         told = sum(
-            count for count, told_s in self.told.values() if now_s - told_s < _TOLD_S
+            count
+            for count, reported_s in self.told.values()
+            if now_s - reported_s < _OWNER_REPORT_TTL_S
+        )
+        return self.outstanding + max(
+            self.reported_others if is_report_valid else 0, told
         )
-        return self.outstanding + max(self.others if is_believed else 0, told)
 
     def free_slots(self, now_s: float) -> int:
-        """Return the slots that are free as far as this node can tell."""
+        """Return the free slots that this node knows of."""
         return self.slots - self.load(now_s)
 
     def room(self, now_s: float) -> int:
-        """Return the samples that it may be sent now.
+        """Return the number of samples that may be sent to the instance now.
 
-        One that hasn't answered yet gets a single sample: a list may be of a time
-        before all its instances were replaced.
+        An instance that hasn't answered yet gets a single sample: the list may be out
+        of date, with all its instances replaced since.
         """
         free = self.free_slots(now_s)
         return free if self.has_answered else min(free, 1 - self.outstanding)
 
     def is_resting(self, now_s: float) -> bool:
-        """Whether it failed a moment ago."""
-        return self.may_rest and now_s < self.rests_until_s
+        """Whether the instance is in a cooldown after a failure or a refusal."""
+        return self.may_rest and now_s < self.cooldown_until_s
 
     def told_load(self, running: int, waiting: int, now_s: float) -> None:
-        """Take the instance's word on its load."""
-        self.others = max(0, running + waiting - self.outstanding)
-        self.others_s = now_s
+        """Record the instance's load report."""
+        self.reported_others = max(0, running + waiting - self.outstanding)
+        self.load_reported_s = now_s
 
     def refused(
         self, kind: InstanceRefusal, now_s: float, model: str | None = None
     ) -> None:
-        """Count a refusal, of a model's requests where it loads weights."""
+        """Record a refusal; a refusal for a load of weights affects only that model."""
         if kind is InstanceRefusal.LOADING and model is not None:
             earlier = self.load_refusals.get(model, 0)
             self.load_refusals[model] = earlier + 1
-            self.loads_until_s[model] = now_s + _refusal_pause_s(earlier)
+            self.loading_until_s[model] = now_s + _refusal_pause_s(earlier)
             return
         pause_s = _refusal_pause_s(self.refusals)
         self.refusals += 1
-        self.rests_until_s = max(self.rests_until_s, now_s + pause_s)
+        self.cooldown_until_s = max(self.cooldown_until_s, now_s + pause_s)
 
     def sent(self, model: str, now_s: float) -> None:
-        """Take that a request of a model goes there.
+        """Record that a request of a model is sent to the instance.
 
-        Where the last one was refused for a load, others wait for this one's answer.
+        If the model's last request was refused because of a load of weights, other
+        requests of the model wait for the answer to this request.
         """
         if self.load_refusals.get(model):
-            self.loads_until_s[model] = now_s + _LONGEST_PAUSE_S
+            self.loading_until_s[model] = now_s + _MAX_REFUSAL_PAUSE_S
 
     def is_loading(self, model: str, now_s: float) -> bool:
-        """Whether it refused this model's requests a moment ago."""
-        return now_s < self.loads_until_s.get(model, now_s)
+        """Whether requests of a model wait, since the instance loads its weights."""
+        return now_s < self.loading_until_s.get(model, now_s)
 
     def answered(self, model: str | None = None) -> None:
-        """Count a good answer, to a request of a model where it has one."""
+        """Record a good answer, and end the cooldown.
+
+        ``model`` is the model of the request; None if the request has no model.
+        """
         self.has_answered = True
         self.failures = 0
         self.refusals = 0
-        self.rests_until_s = float("-inf")
+        self.cooldown_until_s = float("-inf")
         if model is not None:
             self.loaded(model)
 
     def loaded(self, model: str) -> None:
-        """Take that it runs a request of a model."""
+        """Record that the instance runs a request of a model."""
         self.load_refusals.pop(model, None)
-        self.loads_until_s.pop(model, None)
+        self.loading_until_s.pop(model, None)
 
     def failed(self, now_s: float) -> None:
-        """Count a failure; each that follows doubles the rest."""
-        rest_s = min(_LONGEST_REST_S, _FIRST_REST_S * 2.0**self.failures)
+        """Record a failure; each further failure doubles the cooldown."""
+        cooldown_s = min(_MAX_COOLDOWN_S, _FIRST_COOLDOWN_S * 2.0**self.failures)
         self.failures += 1
-        self.rests_until_s = max(self.rests_until_s, now_s + rest_s)
+        self.cooldown_until_s = max(self.cooldown_until_s, now_s + cooldown_s)
 
     def paced(self, gap_s: float, now_s: float) -> None:
-        """Take the time between two events of one stream."""
+        """Record the time between two events of one stream."""
         known_s = self.event_gap_s
-        is_old = now_s - self.paced_s > _PACE_WORD_S
-        self.paced_s = now_s
+        is_old = now_s - self.gap_measured_s > _PACE_TTL_S
+        self.gap_measured_s = now_s
         if known_s is None or is_old:
             self.event_gap_s = gap_s
-        elif gap_s < known_s * _HALT_FACTOR:
+        elif gap_s < known_s * _STALL_FACTOR:
             self.event_gap_s = known_s + _PACE_WEIGHT * (gap_s - known_s)
 
     def pace_s(self, now_s: float) -> float | None:
-        """Return the pace, unless it is too old to tell anything."""
-        return self.event_gap_s if now_s - self.paced_s < _PACE_WORD_S else None
+        """Return the mean gap in seconds; None if none was measured lately."""
+        return self.event_gap_s if now_s - self.gap_measured_s < _PACE_TTL_S else None
 
 
 def usual_pace_s(records: Iterable[InstanceRecord], now_s: float) -> float | None:
-    """Return the median pace of the instances that have one; of two, the faster's.
+    """Return the median of the known mean gaps; the lower of two middle values.
 
-    While weights load, a job often has two instances to choose from: their mean would
-    hide that one of them takes two and a half times as long as the other.
+    While weights load, a job often has only two instances to choose from. The mean of
+    the two gaps would hide that one gap is two and a half times as long as the other.
     """
     paces = [pace for item in records if (pace := item.pace_s(now_s)) is not None]
     return median_low(paces) if paces else None
 
 
-def _paces(
+def _known_paces_s(
     records: Iterable[tuple[str, InstanceRecord]], now_s: float
 ) -> Iterator[float]:
     known = (record.pace_s(now_s) for _, record in records)
@@ -208,7 +225,7 @@
 
 
 def is_slow(record: InstanceRecord, usual_s: float | None, now_s: float) -> bool:
-    """Whether an instance makes events much more slowly than its peers."""
+    """Whether an instance emits events much more slowly than its peers."""
     pace_s = record.pace_s(now_s)
     return pace_s is not None and usual_s is not None and pace_s > SLOW_FACTOR * usual_s
 
@@ -216,15 +233,19 @@
 def choose_for_call(
     records: Sequence[tuple[str, InstanceRecord]], own_domain: str, now_s: float
 ) -> str | None:
-    """Return the instance for a lookup: near, sound and with room."""
+    """Return the instance for a lookup.
+
+    Instances of the node's own failure domain, with free slots and without a cooldown
+    come first. None if there are no instances.
+    """
 
     def rank(item: tuple[str, InstanceRecord]) -> tuple[float, str]:
         name, record = item
         load = record.load(now_s) / record.slots
-        far = 0.0 if record.domain == own_domain else _DOMAIN_WORTH
+        remote = 0.0 if record.domain == own_domain else _REMOTE_DOMAIN_PENALTY
         full = _FULL_PENALTY if record.free_slots(now_s) <= 0 else 0.0
-        rest = _REST_PENALTY if record.is_resting(now_s) else 0.0
-        return load + far + full + rest, name
+        cooldown = _COOLDOWN_PENALTY if record.is_resting(now_s) else 0.0
+        return load + remote + full + cooldown, name
 
     best = min(records, key=rank, default=None)
     return None if best is None else best[0]
@@ -232,42 +253,42 @@
 
 def choose_for_sample(
     records: Sequence[tuple[str, InstanceRecord]],
-    homes: Iterable[str],
+    prompt_holders: Iterable[str],
     avoid: str | None,
     now_s: float,
     events_left: int = 0,
-    others: Container[str] = frozenset(),
+    preferred_by_others: Container[str] = frozenset(),
 ) -> str | None:
-    """Return the instance for a sample, None while none has a free slot.
+    """Return the instance for a sample; None while no instance has a free slot.
 
-    ``homes`` run samples of the same group and hold its prompt. ``avoid`` is the
-    instance that the sample has just been lost at. ``events_left`` is the length that
-    is expected of it: long ones go to fast instances. ``others`` are instances that
-    other homes prefer.
+    ``prompt_holders`` run samples of the same group and have its prompt cached.
+    ``avoid`` is the instance at which the sample was just lost. ``events_left`` is the
+    expected length of the sample: long samples go to fast instances.
+    ``preferred_by_others`` are the instances that other job owners prefer.
     """
     usual_s = usual_pace_s((record for _, record in records), now_s)
-    fastest_s = min(_paces(records, now_s), default=0.0)
-    preferred = frozenset(homes)
+    fastest_s = min(_known_paces_s(records, now_s), default=0.0)
+    holders = frozenset(prompt_holders)
 
     def rank(item: tuple[str, InstanceRecord]) -> tuple[float, str]:
         name, record = item
         load = record.load(now_s) / record.slots
-        home = _GROUP_WORTH if name in preferred else 0.0
+        shared = _SHARED_PROMPT_BONUS if name in holders else 0.0
         slow = _SLOW_PENALTY if is_slow(record, usual_s, now_s) else 0.0
         behind_s = (record.pace_s(now_s) or fastest_s) - fastest_s
         tolerated_s = _PACE_TOLERANCE * fastest_s
-        lost_s = max(0.0, behind_s - tolerated_s) * events_left
-        part = _PART_WORTH if name in others else 0.0
-        return load - home + slow + part + lost_s / _FULL_LOAD_WORTH_S, name
+        delay_s = max(0.0, behind_s - tolerated_s) * events_left
+        other = _OTHER_OWNER_PENALTY if name in preferred_by_others else 0.0
+        return load - shared + slow + other + delay_s / _FULL_LOAD_DELAY_S, name
 
-    able = [
+    usable = [
         item
         for item in records
         if item[1].room(now_s) > 0
         and not item[1].is_resting(now_s)
         and item[0] != avoid
     ]
-    best = min(able, key=rank, default=None)
+    best = min(usable, key=rank, default=None)
     return None if best is None else best[0]
 
 
@@ -277,16 +298,17 @@
     remaining_events: int | None,
     now_s: float,
 ) -> bool:
-    """Whether a running sample gains by going on at another instance.
+    """Whether a running sample ends sooner if it continues at another instance.
 
-    A move costs one reading of the prompt and the text so far, about two events'
-    time; so it must save more, and a place must be free at an instance of usual pace.
+    A move costs one processing of the prompt and the text so far, about the time of two
+    events. The move has to save more, and an instance that isn't slow has to have a
+    free slot.
     """
     peers = list(others)
     usual_s = usual_pace_s((*peers, record), now_s)
     if usual_s is None or not is_slow(record, usual_s, now_s):
         return False
-    if remaining_events is not None and remaining_events < _LEAST_MOVED_EVENTS:
+    if remaining_events is not None and remaining_events < _MIN_EVENTS_TO_MOVE:
         return False
     return any(
         peer.room(now_s) > 0
@@ -296,5 +318,5 @@
     )
 
 
-#: Events that a sample must still have before it for a move to pay.
-_LEAST_MOVED_EVENTS: Final = 4
+#: Remaining events from which a move of a sample saves time.
+_MIN_EVENTS_TO_MOVE: Final = 4
--- a/pistachioglade/decisions/_instance_refusals.py
+++ b/pistachioglade/decisions/_instance_refusals.py
@@ -1,9 +1,9 @@
-"""What an instance's refusal tells, and what follows from it.
+"""Classifies an instance's refusal and decides on its consequences.
 
-The load it answers: a fleet that lost its power reads a list of the engines of before,
-at whose addresses other engines answer within a second, while every sample of every
-step looks for a place; and engines that refuse one model's samples while they load its
-weights, several times a minute each.
+Expected load: after a power loss, a fleet reads a list of the engines from before the
+loss. Other engines answer at those addresses within a second, while all samples of all
+steps wait for an instance. Besides, engines refuse the samples of one model while they
+load its weights, several times a minute each.
 """
 
 from __future__ import annotations
@@ -12,41 +12,41 @@
 from enum import Enum
 from typing import Final
 
-#: Time for which an instance isn't used whose address another one answers at: longer
-#: than the entry of a silent instance stays listed.
+#: Time for which an instance isn't used after another instance answered at its address:
+#: longer than a silent instance stays on the list.
 ABSENT_S: Final = 6.0
-#: Instances that must be found absent for the list to be read at once.
-_MANY_ABSENT: Final = 3
-#: Time within which they must be found so.
-_TOGETHER_S: Final = 1.0
-#: Least time between two such readings.
-_READ_AGAIN_S: Final = 1.0
+#: Number of instances found absent from which the list is read again immediately.
+_MIN_ABSENT: Final = 3
+#: Time within which those instances have to be found absent.
+_ABSENCE_WINDOW_S: Final = 1.0
+#: Minimum time between two such reads.
+_MIN_READ_INTERVAL_S: Final = 1.0
 
 
 class InstanceRefusal(Enum):
     """Why an instance did not run a request."""
 
-    # Another instance answers at its address.
+    # Another instance answers at the instance's address.
     ABSENT = "absent"
-    # Its weights are not those that the request is tied to.
+    # The instance's weights are not the version that the request is pinned to.
     OUTDATED = "outdated"
-    # It loads the weights of the request's model.
+    # The instance loads the weights of the request's model.
     LOADING = "loading"
-    # It has no room.
+    # The instance has no free slot.
     FULL = "full"
 
 
 def kind_of_refusal(
-    is_misdirected: bool, names_version: bool, free_slots: int | None
+    is_misdirected: bool, is_version_pinned: bool, free_slots: int | None
 ) -> InstanceRefusal:
-    """Return what a refusal says.
+    """Return the reason for which an instance refused a request.
 
-    ``is_misdirected`` is the answer of an instance that a request isn't for,
-    ``names_version`` whether the request is tied to a weight version, ``free_slots``
-    the room in the instance's load report; None without one.
+    ``is_misdirected`` says that the answering instance isn't the addressed one,
+    ``is_version_pinned`` that the request is pinned to a weight version. ``free_slots``
+    is the number of free slots in the instance's load report; None without a report.
     """
     if is_misdirected:
-        return InstanceRefusal.OUTDATED if names_version else InstanceRefusal.ABSENT
+        return InstanceRefusal.OUTDATED if is_version_pinned else InstanceRefusal.ABSENT
     if free_slots is not None and free_slots > 0:
         return InstanceRefusal.LOADING
     return InstanceRefusal.FULL
@@ -55,6 +55,6 @@
 def should_read_list(
     absent_since_s: Iterable[float], last_read_s: float, now_s: float
 ) -> bool:
-    """Whether so many instances are absent that the list must be out of date."""
-    recent = sum(1 for since_s in absent_since_s if now_s - since_s < _TOGETHER_S)
-    return recent >= _MANY_ABSENT and now_s - last_read_s >= _READ_AGAIN_S
+    """Whether enough instances were found absent to read the list again."""
+    recent = sum(1 for since_s in absent_since_s if now_s - since_s < _ABSENCE_WINDOW_S)
+    return recent >= _MIN_ABSENT and now_s - last_read_s >= _MIN_READ_INTERVAL_S
--- a/pistachioglade/decisions/_instance_runs.py
+++ b/pistachioglade/decisions/_instance_runs.py
@@ -1,7 +1,7 @@
-"""Which run of an instance an entry of the list tells of.
+"""Compares the run of an instance in an entry of the list with the known run.
 
-An instance may start again under its id; it then knows nothing of before, and an entry
-of its earlier run may still arrive.
+An instance may restart under the same id. The new run has no state of the earlier run,
+and a list entry of the earlier run may still arrive later.
 """
 
 from __future__ import annotations
@@ -10,23 +10,26 @@
 
 
 class InstanceRun(Enum):
-    """The run that an entry tells of, beside the one that is known."""
+    """How the run in a list entry relates to the known run."""
 
-    # The known one, or one that can't be told from it.
+    # The known run, or a run that can't be distinguished from the known run.
     KNOWN = "known"
-    # A later one: all that is believed of the instance is of a run that is over.
+    # A later run: all that is known of the instance belongs to a run that has ended.
     LATER = "later"
-    # An earlier one: the entry comes late.
+    # An earlier run: the entry arrives late.
     EARLIER = "earlier"
-    # None: the entry names no birth, though the instance has one.
+    # No run: the entry has no birth time, though the known run has a birth time.
     UNNAMED = "unnamed"
 
 
-def run_of(known_born_ms: int, told_born_ms: int) -> InstanceRun:
-    """Return the run of an entry, by its birth in Unix milliseconds; 0 for none."""
-    if known_born_ms in (0, told_born_ms):
+def run_of(known_born_ms: int, entry_born_ms: int) -> InstanceRun:
+    """Return how an entry's run relates to the known run.
+
+    Both runs are given by their birth time in Unix milliseconds; 0 if unknown.
+    """
+    if known_born_ms in (0, entry_born_ms):
         return InstanceRun.KNOWN
-    if not told_born_ms:
+    if not entry_born_ms:
         return InstanceRun.UNNAMED
-    is_later = told_born_ms > known_born_ms
+    is_later = entry_born_ms > known_born_ms
     return InstanceRun.LATER if is_later else InstanceRun.EARLIER
--- a/pistachioglade/decisions/tests/test_choice.py
+++ b/pistachioglade/decisions/tests/test_choice.py
@@ -1,4 +1,4 @@
-"""The entry's choice: load, ejection of the slow and the failing, its limit."""
+"""Tests of the choice among agents: load, ejection and its limit."""
 
 from __future__ import annotations
 
@@ -13,12 +13,14 @@
     return CallChooser(ChooserSettings(), random.Random(1))
 
 
-def _answer(chooser: CallChooser, agent: str, answer_s: float, now_s: float) -> None:
+def _record_answer(
+    chooser: CallChooser, agent: str, answer_s: float, now_s: float
+) -> None:
     chooser.sent(agent)
     chooser.answered(agent, answer_s, now_s)
 
 
-def test_the_less_loaded_of_two_is_taken() -> None:
+def test_the_less_loaded_of_two_agents_is_chosen() -> None:
     chooser = _chooser()
     for _call in range(5):
         chooser.sent("a")
@@ -26,24 +28,24 @@
     assert chosen == {"b"}
 
 
-def test_a_slow_agent_is_ejected_and_comes_back() -> None:
+def test_a_slow_agent_is_ejected_for_a_limited_time() -> None:
     chooser = _chooser()
     for turn in range(10):
         for agent, answer_s in (("a", 0.01), ("b", 0.01), ("c", 0.01), ("d", 0.5)):
-            _answer(chooser, agent, answer_s, float(turn))
-    assert chooser.ejected(8.0) == ("d",)
-    assert chooser.ejected(60.0) == ()
+            _record_answer(chooser, agent, answer_s, float(turn))
+    assert chooser.ejected_agents(8.0) == ("d",)
+    assert chooser.ejected_agents(60.0) == ()
 
 
-def test_failures_in_a_row_eject_but_never_most_agents() -> None:
+def test_failing_agents_are_ejected_up_to_the_limit() -> None:
     chooser = _chooser()
     for agent in ("a", "b", "c", "d"):
         for _try in range(3):
             chooser.sent(agent)
             chooser.failed(agent, 1.0)
-    assert len(chooser.ejected(1.0)) == 1
+    assert len(chooser.ejected_agents(1.0)) == 1
 
 
-def test_all_tried_means_none() -> None:
+def test_no_agent_is_chosen_if_all_were_tried() -> None:
     tried = [item.agent for item in _CANDIDATES]
     assert _chooser().choose(_CANDIDATES, "dom", tried, 0.0) is None
--- a/pistachioglade/decisions/tests/test_crash_quarantine.py
+++ b/pistachioglade/decisions/tests/test_crash_quarantine.py
@@ -56,7 +56,7 @@
     assert history_retention_s(2) < history_retention_s(3)
 
 
-def test_a_sample_is_put_off_for_less_than_five_seconds() -> None:
+def test_a_sample_is_delayed_for_less_than_five_seconds() -> None:
     pauses_s = [sample_pause_s(crashes) for crashes in range(12)]
     assert pauses_s[:3] == [0.0, 0.0, 0.0]
     assert pauses_s == sorted(pauses_s)
--- a/pistachioglade/decisions/tests/test_instance_choice.py
+++ b/pistachioglade/decisions/tests/test_instance_choice.py
@@ -1,4 +1,4 @@
-"""Where lookups and samples go, and when a sample moves."""
+"""Tests of the choice of instances for calls and samples, and of moves of samples."""
 
 from __future__ import annotations
 
@@ -45,30 +45,30 @@
 
 
 @pytest.mark.parametrize("name", _CALLS)
-def test_calls(name: str) -> None:
+def test_calls_go_to_the_expected_instance(name: str) -> None:
     records, chosen = _CALLS[name]
     assert choose_for_call(tuple(records.items()), "a", 0.0) == chosen
 
 
-def test_an_instance_that_failed_rests_twice_as_long_each_time() -> None:
+def test_each_failure_doubles_the_cooldown() -> None:
     record = _record()
-    rests = []
+    cooldowns_s = []
     for _ in range(6):
         record.failed(10.0)
-        rests.append(record.rests_until_s - 10.0)
-    assert rests == [0.25, 0.5, 1.0, 2.0, 3.0, 3.0]
+        cooldowns_s.append(record.cooldown_until_s - 10.0)
+    assert cooldowns_s == [0.25, 0.5, 1.0, 2.0, 3.0, 3.0]
     record.answered()
     assert not record.is_resting(10.0)
 
 
-def test_a_refusal_pauses_for_less_than_a_failure() -> None:
+def test_a_refusal_causes_a_shorter_cooldown_than_a_failure() -> None:
     refused, failed = _record(), _record()
     refused.refused(InstanceRefusal.FULL, 0.0)
     failed.failed(0.0)
-    assert 0.0 < refused.rests_until_s < failed.rests_until_s
+    assert 0.0 < refused.cooldown_until_s < failed.cooldown_until_s
 
 
-def test_a_word_on_load_is_believed_for_a_moment_only() -> None:
+def test_a_load_report_expires() -> None:
     record = _record(outstanding=2)
     record.told_load(7, 1, 0.0)
     assert record.free_slots(0.1) == 0
@@ -76,7 +76,7 @@
 
 
 _SAMPLES = {
-    # name: (records, homes, avoided, chosen)
+    # name: (records, prompt holders, avoided, chosen)
     "home, while it has room": (
         {"x": _record(), "y": _record(outstanding=4)},
         {"y"},
@@ -102,40 +102,40 @@
 
 
 @pytest.mark.parametrize("name", _SAMPLES)
-def test_samples(name: str) -> None:
-    records, homes, avoided, chosen = _SAMPLES[name]
-    found = choose_for_sample(tuple(records.items()), homes, avoided, 0.0)
+def test_samples_go_to_the_expected_instance(name: str) -> None:
+    records, holders, avoided, chosen = _SAMPLES[name]
+    found = choose_for_sample(tuple(records.items()), holders, avoided, 0.0)
     assert found == chosen
 
 
 def test_a_step_is_spread_over_all_engines() -> None:
-    """Plays a step of 12 groups of 4 on 4 engines of 8 slots, as placement sees it."""
+    """Simulates a step of 12 groups of 4 samples on 4 engines of 8 slots."""
     records = {f"engine-{number}": _record() for number in range(4)}
-    homes: dict[int, set[str]] = {}
+    holders: dict[int, set[str]] = {}
     placed: Counter[str] = Counter()
     refused = 0
     order = [(group, item) for group in range(12) for item in range(4)]
     random.Random(1).shuffle(order)
     for group, _item in order:
-        mine = homes.setdefault(group, set())
-        chosen = choose_for_sample(tuple(records.items()), mine, None, 0.0)
+        own = holders.setdefault(group, set())
+        chosen = choose_for_sample(tuple(records.items()), own, None, 0.0)
         if chosen is None:
             refused += 1
             continue
         records[chosen].outstanding += 1
-        mine.add(chosen)
+        own.add(chosen)
         placed[chosen] += 1
     assert set(placed.values()) == {8}
     assert refused == 16
 
 
-def test_a_halt_is_no_pace() -> None:
+def test_a_stall_does_not_change_the_mean_gap() -> None:
     record = _record(gap_s=0.04)
     record.paced(0.9, 1.0)
     assert record.pace_s(1.0) == 0.04
 
 
-def test_an_old_pace_tells_nothing() -> None:
+def test_an_old_mean_gap_expires() -> None:
     record = _record(gap_s=0.04)
     assert record.pace_s(30.0) is None
     record.paced(0.2, 30.0)
@@ -143,7 +143,7 @@
 
 
 _MOVES = {
-    # name: (its pace, its peers, events left, whether it moves)
+    # name: (gap of the instance, gap and load of its peers, events left, expected)
     "off a slow engine": (0.15, [(0.04, 2), (0.04, 3)], 40, True),
     "with no estimate": (0.15, [(0.04, 2), (0.04, 3)], None, True),
     "not for the last events": (0.15, [(0.04, 2), (0.04, 3)], 2, False),
@@ -154,28 +154,31 @@
 
 
 @pytest.mark.parametrize("name", _MOVES)
-def test_moves(name: str) -> None:
+def test_samples_move_only_if_a_move_saves_time(name: str) -> None:
     gap_s, peers, left, moves = _MOVES[name]
     record = _record(gap_s=gap_s)
     others = [_record(outstanding=load, gap_s=pace_s) for pace_s, load in peers]
     assert should_move(record, others, left, 0.0) is moves
 
 
-def test_slow_is_judged_by_the_median() -> None:
+def test_slow_instances_are_found_by_the_median() -> None:
     records = [_record(gap_s=gap_s) for gap_s in (0.04, 0.04, 0.12)]
     usual_s = usual_pace_s(records, 0.0)
     assert [is_slow(item, usual_s, 0.0) for item in records] == [False, False, True]
 
 
-def test_of_two_the_slow_one_is_slow() -> None:
-    """Jalrekha trouble-3: ten seconds at the slower of the two that had the weights."""
+def test_of_two_instances_the_slower_is_slow() -> None:
+    """Guards against ten seconds at the slower of the two instances with the weights.
+
+    The mean of two gaps would hide the slower one.
+    """
     records = [_record(gap_s=gap_s) for gap_s in (0.04, 0.104)]
     usual_s = usual_pace_s(records, 0.0)
     assert [is_slow(item, usual_s, 0.0) for item in records] == [False, True]
 
 
 def _step_s(paces: dict[str, float], lengths: list[int], by_pace: bool) -> float:
-    """Play a step on instances of six slots; return when its last sample ends."""
+    """Simulate a step on instances of six slots; return the end of its last sample."""
     records = {
         name: _record(slots=6, gap_s=gap_s) for name, gap_s in sorted(paces.items())
     }
@@ -190,9 +193,10 @@
 
 
 def test_a_step_ends_sooner_when_its_longest_samples_go_to_fast_instances() -> None:
-    """Seventeen instances, seven of them slower by 1.3; a step of 64 samples.
+    """Simulates 64 samples on 17 instances, 8 of which take 1.3 times as long.
 
-    Its longest samples have 127 events; before, 6.7 s by the places that were free.
+    The longest samples have 127 events. Placement by free slots alone sends one of them
+    to a slow instance, and the step takes 6.7 s.
     """
     paces = {
         f"i-{number:02}": 0.053 if number % 5 < 2 else 0.041 for number in range(17)
@@ -202,8 +206,8 @@
     assert _step_s(paces, lengths, by_pace=False) > 6.6
 
 
-def test_small_differences_of_pace_move_nothing() -> None:
-    """What neighbours and the way of an event do to a pace is no reason to crowd."""
+def test_small_differences_in_pace_do_not_affect_the_choice() -> None:
+    """Other requests and network delays change a gap by as much."""
     near = {"x": _record(outstanding=1, gap_s=0.0480), "y": _record(gap_s=0.0505)}
     assert choose_for_sample(tuple(near.items()), (), None, 0.0, 150) == "y"
 
@@ -214,22 +218,22 @@
     assert choose_for_sample(tuple(fleet.items()), (), None, 0.0, 120) == "x"
 
 
-def test_homes_leave_engines_to_each_other_until_theirs_are_full() -> None:
+def test_engines_preferred_by_another_owner_are_used_last() -> None:
     records = {"mine": _record(), "theirs": _record()}
     records["mine"].outstanding = 3
     chosen = choose_for_sample(
-        tuple(records.items()), (), None, 0.0, others=frozenset({"theirs"})
+        tuple(records.items()), (), None, 0.0, preferred_by_others=frozenset({"theirs"})
     )
     assert chosen == "mine"
     records["mine"].outstanding = 8
     chosen = choose_for_sample(
-        tuple(records.items()), (), None, 0.0, others=frozenset({"theirs"})
+        tuple(records.items()), (), None, 0.0, preferred_by_others=frozenset({"theirs"})
     )
     assert chosen == "theirs"
-    # What another home has there counts, though the engine hasn't told of it.
+    # Samples reported by another job owner count, though the engine didn't report them.
     records["theirs"].told["home"] = 8, 0.0
     chosen = choose_for_sample(
-        tuple(records.items()), (), None, 0.0, others=frozenset({"theirs"})
+        tuple(records.items()), (), None, 0.0, preferred_by_others=frozenset({"theirs"})
     )
     assert chosen is None
     assert records["theirs"].free_slots(1.0) == 8
--- a/pistachioglade/decisions/tests/test_instance_runs.py
+++ b/pistachioglade/decisions/tests/test_instance_runs.py
@@ -1,4 +1,4 @@
-"""Runs of an instance, as a table."""
+"""Tests of the comparison of instance runs."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    ("known_born_ms", "told_born_ms", "expected"),
+    ("known_born_ms", "entry_born_ms", "expected"),
     [
         (0, 0, InstanceRun.KNOWN),
         (0, 7, InstanceRun.KNOWN),
@@ -18,7 +18,7 @@
         (7, 0, InstanceRun.UNNAMED),
     ],
 )
-def test_which_run_an_entry_tells_of(
-    known_born_ms: int, told_born_ms: int, expected: InstanceRun
+def test_run_of_a_list_entry_is_compared_with_the_known_run(
+    known_born_ms: int, entry_born_ms: int, expected: InstanceRun
 ) -> None:
-    assert run_of(known_born_ms, told_born_ms) is expected
+    assert run_of(known_born_ms, entry_born_ms) is expected
