--- a/pistachioglade/decisions/__init__.py
+++ b/pistachioglade/decisions/__init__.py
@@ -1,7 +1,7 @@
-"""Pure policy: no clock, no socket, no randomness of its own.
+"""Pure decision functions: no clock, no I/O, no random source of their own.
 
-Times come in as arguments in seconds of one monotonic clock, random numbers as
-a :class:`random.Random`.
+Times are passed in as arguments, in seconds of one monotonic clock, and random numbers
+as a :class:`random.Random`.
 """
 
 from ._call_tries import (
--- a/pistachioglade/decisions/_policy.py
+++ b/pistachioglade/decisions/_policy.py
@@ -1,8 +1,9 @@
-"""Which mechanisms the serving programs use; all of them, but for an experiment.
+"""Names the mechanisms of the serving programs that an experiment can leave out.
 
-Each can be left out alone, so that what it is worth can be measured on any deployment:
-``PISTACHIOGLADE_WITHOUT`` names them, with commas between. What they are worth stands
-in docs/ACCOUNT.md.
+All mechanisms are in use by default. Each can be left out on its own, so that its
+effect can be measured on any deployment: the environment variable
+``PISTACHIOGLADE_WITHOUT`` lists the names, separated by commas. docs/ACCOUNT.md states
+the measured effects.
 """
 
 from __future__ import annotations
@@ -14,50 +15,64 @@
 
 from ..errors import ErrorKind, Refusal, refuse
 
-#: Variable of the environment that names what is left out.
+#: Environment variable that lists the mechanisms to leave out.
 WITHOUT_VARIABLE: Final = "PISTACHIOGLADE_WITHOUT"
 
 
 class Mechanism(Enum):
-    """A mechanism that can be left out; without it, what follows the colon happens."""
+    """A mechanism that can be left out, and what happens without the mechanism."""
 
-    # Texts of running samples are saved: samples of a dead entry start anew.
+    # Texts of running samples are saved. Without: samples of a dead entry start again.
     SAVED_TEXTS = "saved-texts"
-    # Texts of an ended step are kept for the next: groups that come again start anew.
+    # Texts of an ended step are kept for the next step. Without: groups that are
+    # submitted again start again.
     CARRIED_TEXTS = "carried-texts"
-    # One entry runs all jobs of an upstream: each runs where it was accepted.
+    # As few entries as have the capacity own the jobs of an upstream. Without: each job
+    # runs on the entry that accepted the job.
     ONE_HOME = "one-home"
-    # Samples of a job that passes on run until its next owner asks: they stop at once.
+    # Samples of a job that changes its owner run until the next owner asks for them.
+    # Without: the samples stop at once.
     RUNNING_ON = "running-on"
-    # Jobs go to entries that reach the store: to whoever is home by the list.
+    # Jobs go to owners that reach the store. Without: to the owner given by the list of
+    # entries alone.
     READY_HOMES = "ready-homes"
-    # The sample with the latest start goes first: the order of submission in a step.
+    # The sample with the latest possible start goes first. Without: samples of a step
+    # go in the order of submission.
     LONGEST_FIRST = "longest-first"
-    # A group's samples go where its prompt is: to the emptiest instance.
+    # Samples of a group go to the instances that have its prompt cached. Without: to
+    # the least loaded instance.
     GROUP_HOMES = "group-homes"
-    # Long samples go to fast instances: to the emptiest ones.
+    # Long samples go to fast instances. Without: to the least loaded instance.
     FAST_FOR_LONG = "fast-for-long"
-    # Samples leave slow instances: they end where they began.
+    # Samples move away from slow instances. Without: samples end where they began.
     MOVING = "moving"
-    # Instances that failed or refused rest for a moment: they are asked again at once.
+    # Instances that failed or refused get a cooldown. Without: such instances get new
+    # requests at once.
     RESTS = "rests"
-    # Engines skip every other version: each loads each.
+    # Engines skip every other weight version. Without: each engine loads each version.
     SKIPPED_VERSIONS = "skipped-versions"
-    # A home tells engines of versions: they read the store every 2 s.
+    # A job owner notifies engines of weight versions. Without: engines read the store
+    # every 2 s.
     TOLD_VERSIONS = "told-versions"
-    # Changes that follow each other come with one call: with one each.
+    # Consecutive changes are fetched with one call to the store. Without: each change
+    # with a call of its own.
     GATHERED_CHANGES = "gathered-changes"
-    # Watches whose lateness harms nobody are cheap: all are of now.
+    # Watches whose delay does no harm use cheap reads, which may be stale. Without: all
+    # watches are current.
     CHEAP_WATCHES = "cheap-watches"
-    # Results gather until the trainer needs them: each is written at once.
+    # Results are collected until the trainer needs them. Without: each result is
+    # written at once.
     GATHERED_RESULTS = "gathered-results"
-    # Retries are a part of first tries: as many as the route allows.
+    # Retries are limited to a fraction of the first tries. Without: to the maximum
+    # number of attempts of the route.
     RETRY_BUDGET = "retry-budget"
-    # Any entry that reaches the store makes others' calls: the one before them does.
+    # Any entry that reaches the store relays calls of other entries. Without: only the
+    # entry before the caller in the order of names does.
     ANY_RELAY = "any-relay"
-    # An entry that falls silent loses its jobs at once: when it is off the list.
+    # The jobs of an entry that falls silent get another owner at once. Without: once
+    # the entry has left the list.
     WATCHED_NEIGHBOUR = "watched-neighbour"
-    # A few entries watch the store for the others: each watches.
+    # A few entries watch the store for the others. Without: each entry watches.
     WATCH_RELAYS = "watch-relays"
 
 
@@ -65,7 +80,7 @@
 class Policy:
     """The mechanisms that are in use."""
 
-    # Those that are left out.
+    # Mechanisms that are left out.
     without: frozenset[Mechanism] = frozenset()
 
     def uses(self, mechanism: Mechanism) -> bool:
@@ -73,16 +88,19 @@
         return mechanism not in self.without
 
 
-#: All mechanisms.
+#: Policy with all mechanisms in use.
 FULL_POLICY: Final = Policy()
 
 
 def parse_policy(text: str) -> Policy | Refusal:
-    """Return the policy that a list of names leaves, or which name is unknown."""
-    words = [word.strip() for word in text.split(",") if word.strip()]
+    """Return the policy without the listed mechanisms.
+
+    ``text`` is a list of names, separated by commas. An unknown name is refused.
+    """
+    names = [name.strip() for name in text.split(",") if name.strip()]
     known = {mechanism.value: mechanism for mechanism in Mechanism}
-    unknown = [word for word in words if word not in known]
+    unknown = [name for name in names if name not in known]
     if unknown:
         reason = f"{WITHOUT_VARIABLE}: no mechanism {unknown[0]!r}; {', '.join(known)}"
         return refuse(ErrorKind.BAD_REQUEST, reason)
-    return Policy(frozenset(known[word] for word in words))
+    return Policy(frozenset(known[name] for name in names))
--- a/pistachioglade/decisions/_retry.py
+++ b/pistachioglade/decisions/_retry.py
@@ -1,4 +1,4 @@
-"""When a failed request may be tried again."""
+"""Decides whether a failed request may be tried again."""
 
 from __future__ import annotations
 
@@ -6,16 +6,17 @@
 
 from ..errors import ErrorKind, Refusal
 
-#: Retries that are allowed before any first try was counted.
+#: Retries that are allowed before any first try is counted.
 _INITIAL_TOKENS: Final = 3.0
-#: Most retries that can be saved up.
+#: Maximum number of unused retries.
 _MAX_TOKENS: Final = 50.0
-#: Least time that must be left for another try.
+#: Minimum time left for another try.
 _MIN_REMAINING_S: Final = 0.05
 
-#: Answers in a row that may be a fault of the program. One that comes back at each try
-#: is not mended by a further one, and whoever waits learns nothing meanwhile.
-_MOST_FAULTS: Final = 4
+#: Consecutive answers with a possible internal fault from which a request isn't sent
+#: again. A fault that recurs at each try doesn't go away at another try, and the caller
+#: gets no answer meanwhile.
+_MAX_FAULTS_IN_ROW: Final = 4
 
 _FINAL_KINDS: Final = frozenset(
     {
@@ -31,13 +32,13 @@
 )
 
 
-#: Times that a sample's making may end in a fault of the program: several agents have
-#: tried by then, and the fault is the sample's own.
-_MOST_SAMPLE_FAULTS: Final = 8
+#: Internal faults from which a sample is given up. Several agents have tried the sample
+#: by then, so that the sample itself causes the fault.
+_MAX_SAMPLE_FAULTS: Final = 8
 
 
 class RetryBudget:
-    """Holds retries to a fixed part of the first tries."""
+    """Limits retries to a fixed fraction of the first tries."""
 
     def __init__(self, percent: int) -> None:
         self._ratio = percent / 100.0
@@ -48,7 +49,7 @@
         self._tokens = min(_MAX_TOKENS, self._tokens + self._ratio)
 
     def take(self) -> bool:
-        """Use one retry, if there is one."""
+        """Use one retry of the budget; return False if the budget is used up."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -63,19 +64,20 @@
 
 
 def may_repeat(refusal: Refusal, faults_in_row: int) -> bool:
-    """Return whether a request of a trainer may be sent once more as it is.
+    """Return whether a trainer's request may be sent again unchanged.
 
-    ``faults_in_row`` counts the answers up to this one that were a fault of the
-    program. A step that isn't open has to be opened before it is asked of again.
+    ``faults_in_row`` is the number of consecutive answers, up to this refusal, that
+    report an internal fault. A step that isn't open has to be opened before a request
+    for the step is sent again.
     """
     if refusal.retry_after_s is None or refusal.kind is ErrorKind.UNKNOWN_STEP:
         return False
-    return faults_in_row < _MOST_FAULTS
+    return faults_in_row < _MAX_FAULTS_IN_ROW
 
 
 def is_sample_hopeless(faults: int) -> bool:
-    """Return whether a sample is made no more, after so many faults of the program.
+    """Return whether a sample with this number of internal faults is given up.
 
-    Other failures are trouble of an engine or a link, which may pass.
+    Other failures come from an engine or a link and may be temporary.
     """
-    return faults >= _MOST_SAMPLE_FAULTS
+    return faults >= _MAX_SAMPLE_FAULTS
--- a/pistachioglade/decisions/_store_outage.py
+++ b/pistachioglade/decisions/_store_outage.py
@@ -1,12 +1,13 @@
-"""Whether the store itself was away, or only this node's own way to it.
-
-The load it answers: single entries lose their way to the store for ten seconds and
-more, or are refused by it, while it serves all others and while they read it by way of
-these. Instances leave the list in that time, and such an entry must drop them like any
-other: one that took its own way for the store sent requests to an instance for 18 s
-behind its leaving, played in virtual time. In an outage of the store, though, entries
-of living instances lapse: dropping those would leave callers with no instance for two
-seconds.
+"""Distinguishes an outage of the store from the loss of this node's route to it.
+
+Expected load: single entries lose their route to the store for ten seconds and more, or
+are refused by the store, while the store serves all other entries and while the cut-off
+entries reach the store through the others. Instances leave the list in that time, and a
+cut-off entry must drop them as any other entry does. In a simulation, an entry that
+took the loss of its own route for an outage sent requests to an instance for 18 s after
+the instance had left. In an outage of the store, however, the list entries of living
+instances lapse. Dropping those instances would leave callers without an instance for
+two seconds.
 """
 
 from __future__ import annotations
@@ -15,68 +16,74 @@
 
 import attrs
 
-#: Time behind the store's return for which an instance that has left the list stays in
-#: use: those that live are back within about two seconds.
+#: Time after the end of an outage for which an instance that has left the list stays in
+#: use. Living instances are listed again within about two seconds.
 _LAPSE_GRACE_S: Final = 2.2
-#: Time for which calls have to go unanswered by every way: one that was lost or refused
-#: on the way says nothing of the store, and entries lapse only after three heartbeats.
-_LEAST_OUTAGE_S: Final = 0.5
+#: Time for which calls have to be unanswered on all routes. A single call that is lost
+#: or refused on its route doesn't indicate an outage, and list entries lapse only after
+#: three heartbeats.
+_MIN_OUTAGE_S: Final = 0.5
 
 
 @attrs.define
 class StoreOutage:
-    """What a node has seen of the store's outages, by all of its ways together."""
+    """State of the store as a node observes it, on all its routes together."""
 
-    # When a call was last answered; minus infinity before any.
+    # Monotonic time of the last answer; minus infinity before any.
     answered_s: float = float("-inf")
-    # When the first of the calls began that no way has answered; None while one does.
+    # Monotonic time since which no route has answered a call; None after an answer.
     unanswered_since_s: float | None = None
-    # When the store was taken for away; None if it isn't.
-    away_since_s: float | None = None
-    # When it was back from its last outage; None if it had none.
+    # Monotonic time at which the outage was detected; None without an outage.
+    unavailable_since_s: float | None = None
+    # Monotonic time at which the last outage ended; None before any outage ended.
     returned_s: float | None = None
 
     @property
-    def is_away(self) -> bool:
-        """Whether the store is away."""
-        return self.away_since_s is not None
+    def is_unavailable(self) -> bool:
+        """Whether the store is in an outage."""
+        return self.unavailable_since_s is not None
 
     def answered(self, asked_s: float, now_s: float) -> None:
-        """Take an answer, by whichever way, to a call that began then."""
-        if self.away_since_s is not None and not self._was_doubt(asked_s, now_s):
+        """Record an answer, on any route, to a call that began at ``asked_s``."""
+        if self.unavailable_since_s is not None and not self._was_false_alarm(
+            asked_s, now_s
+        ):
             self.returned_s = now_s
         self.answered_s = now_s
         self.unanswered_since_s = None
-        self.away_since_s = None
+        self.unavailable_since_s = None
 
-    def _was_doubt(self, asked_s: float, now_s: float) -> bool:
-        """Whether the call that made the store seem away was answered after all.
+    def _was_false_alarm(self, asked_s: float, now_s: float) -> bool:
+        """Whether the call at which the outage was detected has been answered.
 
-        Two refusals a second apart, with no other call between them, look like an
-        outage until the second call has gone by another way.
+        Two refusals a second apart, without another call between them, look like an
+        outage until the second call has been sent on another route.
         """
-        since_s = self.away_since_s
+        since_s = self.unavailable_since_s
         assert since_s is not None
-        return asked_s <= since_s and now_s - since_s < _LEAST_OUTAGE_S
+        return asked_s <= since_s and now_s - since_s < _MIN_OUTAGE_S
 
     def unanswered(self, begun_s: float, now_s: float) -> None:
-        """Take that no way answered a call that was made then.
+        """Record that no route answered a call that began at ``begun_s``.
 
-        Others may have been answered while it waited.
+        Other calls may have been answered while this call waited.
         """
         if self.unanswered_since_s is None:
             self.unanswered_since_s = max(begun_s, self.answered_s)
-        is_long = now_s - self.unanswered_since_s >= _LEAST_OUTAGE_S
-        if is_long and self.away_since_s is None:
-            self.away_since_s = now_s
+        is_long = now_s - self.unanswered_since_s >= _MIN_OUTAGE_S
+        if is_long and self.unavailable_since_s is None:
+            self.unavailable_since_s = now_s
 
     def age_s(self, now_s: float) -> float | None:
-        """Return the seconds since the last outage, 0 in one; None if none was."""
-        if self.is_away:
+        """Return the seconds since the last outage.
+
+        0 during an outage; None if there was no outage.
+        """
+        if self.is_unavailable:
             return 0.0
         return None if self.returned_s is None else now_s - self.returned_s
 
 
 def may_have_lapsed(outage_age_s: float | None) -> bool:
-    """Whether an instance that left the list may live and soon be back on it."""
+    """Whether an instance that left the list may be alive and be listed again soon."""
     return outage_age_s is not None and outage_age_s < _LAPSE_GRACE_S
--- a/pistachioglade/decisions/_watch_relays.py
+++ b/pistachioglade/decisions/_watch_relays.py
@@ -1,9 +1,10 @@
-"""Which entries watch the store for the others, and which one an entry follows.
+"""Chooses the entries that watch the store for the others, and whom an entry follows.
 
-The load it answers: sixty entries that each watch the same kinds, so that each change
-of an instance is paid for sixty times. A few entries watch; the others ask one of those
-for what has changed. Asking is cheap and answers are held, but not for long: an entry
-whose relay is lost has to notice within the time that the users allow for a change.
+Expected load: sixty entries that each watch the same kinds, so that each change of an
+instance is charged for sixty times. Instead a few entries, the relays, watch; the
+others ask a relay for changes. A request to a relay is cheap. The relay holds the
+request until there is a change, but not for long: an entry whose relay is lost has to
+notice within the time that the users allow for a change.
 """
 
 from __future__ import annotations
@@ -14,34 +15,36 @@
 
 from ._hashing import rendezvous_order
 
-#: Entries up to which each watches by itself.
-_FEW: Final = 6
-#: Entries that follow one relay.
-_FOLLOWERS: Final = 16
-#: Least relays: one may be lost at any moment.
-_LEAST_RELAYS: Final = 2
-#: Part of the time that a leaving instance serves in which a relay gathers changes.
+#: Number of entries up to which each entry watches the store itself.
+_MAX_DIRECT_WATCHERS: Final = 6
+#: Number of entries for each relay.
+_ENTRIES_PER_RELAY: Final = 16
+#: Minimum number of relays. One relay may be lost at any time.
+_MIN_RELAYS: Final = 2
+#: Time for which a relay collects changes, as a fraction of the time for which a
+#: leaving instance still serves.
 RELAY_GATHER_PART: Final = 0.3
-#: The same for which a relay holds a question that has no answer yet.
+#: Longest time for which a relay holds a request while there are no changes, as a
+#: fraction of the same time.
 RELAY_HOLD_PART: Final = 0.25
-#: Time for the way of a question and its answer.
+#: Time for the transfer of a request and its answer.
 RELAY_SLACK_S: Final = 0.3
-#: The same since the store has last answered a relay for its copy to count. With the
-#: hold it is less than that time.
+#: Longest time since the store's last answer to a relay for which the relay's copy is
+#: valid, as a fraction of the same time. Together with the hold, less than that time.
 RELAY_AGE_PART: Final = 0.35
-#: Time for which a relay that didn't answer isn't asked.
+#: Cooldown of a relay that didn't answer.
 RELAY_REST_S: Final = 5.0
 
 
 def relays_of(entries: Iterable[str]) -> Sequence[str]:
-    """Return the entries that watch for the others; none where each watches."""
+    """Return the entries that watch for the others; none if each entry watches."""
     names = tuple(entries)
-    if len(names) <= _FEW:
+    if len(names) <= _MAX_DIRECT_WATCHERS:
         return ()
-    count = max(_LEAST_RELAYS, ceil(len(names) / _FOLLOWERS))
+    count = max(_MIN_RELAYS, ceil(len(names) / _ENTRIES_PER_RELAY))
     return rendezvous_order("relays", names)[:count]
 
 
 def relay_for(own: str, relays: Iterable[str]) -> str | None:
-    """Return the relay that an entry follows; None if there is none to follow."""
+    """Return the relay that an entry follows; None without relays."""
     return next(iter(rendezvous_order(own, relays)), None)
--- a/pistachioglade/decisions/tests/test_policy.py
+++ b/pistachioglade/decisions/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""Mechanisms that an experiment leaves out."""
+"""Tests of the mechanisms that an experiment leaves out."""
 
 from __future__ import annotations
 
@@ -18,7 +18,9 @@
         ("rests, one-home,", {Mechanism.RESTS, Mechanism.ONE_HOME}),
     ],
 )
-def test_names_of_mechanisms(text: str, without: set[Mechanism] | None) -> None:
+def test_a_policy_is_parsed_from_the_names_of_mechanisms(
+    text: str, without: set[Mechanism] | None
+) -> None:
     policy = parse_policy(text)
     if without is None:
         assert isinstance(policy, Refusal)
@@ -32,7 +34,7 @@
     assert not parse_policy("rests").uses(Mechanism.RESTS)  # type: ignore[union-attr]
 
 
-def test_without_lengths_samples_start_in_their_steps_order() -> None:
+def test_without_lengths_samples_start_in_the_order_of_submission() -> None:
     samples = [
         pending("short", expected_tokens=100, group_index=0),
         pending("long", expected_tokens=9000, group_index=1),
--- a/pistachioglade/decisions/tests/test_relay_choice.py
+++ b/pistachioglade/decisions/tests/test_relay_choice.py
@@ -1,4 +1,4 @@
-"""By way of which entries the store is called, as tables."""
+"""Tests of the choice of relays to the store."""
 
 from __future__ import annotations
 
@@ -11,40 +11,40 @@
 _NAMES = [f"e-{number:02}" for number in range(22)]
 
 
-def test_each_look_asks_others_and_comes_round() -> None:
-    looks = [relays_to_ask("e-03", _NAMES, look) for look in range(4)]
-    assert all(len(look) == 3 and "e-03" not in look for look in looks)
-    assert not set(looks[0]) & set(looks[1])
-    assert looks[2:] == looks[:2]
+def test_rounds_ask_different_entries_in_a_cycle() -> None:
+    rounds = [relays_to_ask("e-03", _NAMES, index) for index in range(4)]
+    assert all(len(asked) == 3 and "e-03" not in asked for asked in rounds)
+    assert not set(rounds[0]) & set(rounds[1])
+    assert rounds[2:] == rounds[:2]
 
 
-def test_entries_ask_few_of_many() -> None:
-    asked = {name for look in range(50) for name in relays_to_ask("me", _NAMES, look)}
+def test_in_a_large_fleet_an_entry_asks_only_six_others() -> None:
+    asked = {name for index in range(50) for name in relays_to_ask("me", _NAMES, index)}
     assert len(asked) == 6
 
 
 @pytest.mark.parametrize("others", [0, 1, 2, 4])
-def test_small_fleets_ask_all(others: int) -> None:
+def test_in_a_small_fleet_an_entry_asks_all_others(others: int) -> None:
     names = ["me", *_NAMES[:others]]
-    asked = {name for look in range(3) for name in relays_to_ask("me", names, look)}
+    asked = {name for index in range(3) for name in relays_to_ask("me", names, index)}
     assert asked == set(_NAMES[:others])
 
 
-def test_neighbours_that_lose_the_store_together_find_a_way() -> None:
-    """Eight that follow each other are cut off; each has a way by its second look."""
+def test_adjacent_entries_that_lose_the_store_find_a_relay() -> None:
+    """Eight adjacent entries are cut off; each finds a relay by its second round."""
     cut_off = set(_NAMES[:8])
 
-    def looks_until_found(name: str) -> int:
-        in_vain = takewhile(
-            lambda look: set(relays_to_ask(name, _NAMES, look)) <= cut_off, count()
+    def rounds_until_found(name: str) -> int:
+        unsuccessful = takewhile(
+            lambda index: set(relays_to_ask(name, _NAMES, index)) <= cut_off, count()
         )
-        return sum(1 for _ in in_vain) + 1
+        return sum(1 for _ in unsuccessful) + 1
 
-    assert max(map(looks_until_found, cut_off)) <= 2
+    assert max(map(rounds_until_found, cut_off)) <= 2
 
 
-_WORDS = {
-    # name: (words at 10.0, expected)
+_REPORTS = {
+    # name: (reports at 10.0, expected)
     "none": ({}, []),
     "one reaches it": ({"a": RelayWord(9.8, True)}, ["a"]),
     "one doesn't": ({"a": RelayWord(9.8, False)}, []),
@@ -69,7 +69,7 @@
 }
 
 
-@pytest.mark.parametrize("name", _WORDS)
-def test_only_fresh_words_of_entries_that_reach_it_count(name: str) -> None:
-    words, expected = _WORDS[name]
-    assert relays_to_use(words, 10.0) == expected
+@pytest.mark.parametrize("name", _REPORTS)
+def test_only_recent_reports_of_entries_that_reach_the_store_count(name: str) -> None:
+    reports, expected = _REPORTS[name]
+    assert relays_to_use(reports, 10.0) == expected
--- a/pistachioglade/decisions/tests/test_serving_tables.py
+++ b/pistachioglade/decisions/tests/test_serving_tables.py
@@ -1,4 +1,4 @@
-"""Tables of the decisions of the serving programs."""
+"""Table tests of the decisions of the serving programs."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
         (_ONCE, 1, True, 0.5, True),
     ],
 )
-def test_tries(
+def test_a_call_is_retried_only_where_the_policy_allows(
     policy: CallPolicy,
     attempts: int,
     did_not_run: bool,
@@ -102,13 +102,13 @@
 
 
 def test_the_longest_sample_does_not_wait_behind_short_ones() -> None:
-    """Plays a step of 48 samples on 32 slots; the step is over with its last."""
+    """Simulates a step of 48 samples on 32 slots; the last sample ends the step."""
 
     def length_s(order: list[PendingSample]) -> float:
         free_s = [0.0] * 32
         for item in order:
-            place = min(range(32), key=free_s.__getitem__)
-            free_s[place] += (item.expected_tokens or 0) * 0.00066
+            slot = min(range(32), key=free_s.__getitem__)
+            free_s[slot] += (item.expected_tokens or 0) * 0.00066
         return max(free_s)
 
     samples = [
@@ -125,12 +125,12 @@
         (0.4, 0.1, False, False),
         (1.3, 0.1, True, False),
         (2.1, 0.1, True, True),
-        # The store is away for both.
+        # The store is unavailable to both entries.
         (2.1, 2.1, False, False),
         (None, 0.1, False, False),
     ],
 )
-def test_an_entry_without_the_store(
+def test_an_entry_without_the_store_loses_its_jobs_and_then_its_listing(
     store_age_s: float | None, own_age_s: float, takes_jobs: bool, leaves_list: bool
 ) -> None:
     view = NeighbourView(0.0, store_age_s, own_age_s)
@@ -159,7 +159,7 @@
         (0.6, 0.1, 0.1, 3, True, False),
     ],
 )
-def test_takeover(
+def test_a_silent_or_storeless_neighbour_is_detected(
     silent_s: float,
     store_age_s: float | None,
     own_age_s: float,
@@ -172,12 +172,12 @@
     assert is_storeless(view) is storeless
 
 
-def test_a_neighbour_in_doubt_is_asked_again_soon() -> None:
+def test_a_suspected_neighbour_is_probed_more_often() -> None:
     assert probe_interval_s(False) == PROBE_INTERVAL_S
     assert probe_interval_s(True) < PROBE_INTERVAL_S / 3
 
 
-def test_homes_move_only_with_their_entry() -> None:
+def test_job_owners_change_only_with_their_entry() -> None:
     entries = {f"entry-{number}": 0.8 for number in range(6)}
     keys = [f"lm-{number}" for number in range(40)]
     before = {key: homes_of(key, 30, entries) for key in keys}
@@ -186,20 +186,23 @@
     assert moved == {key for key in keys if before[key] == ("entry-3",)}
 
 
-def test_a_weak_entry_is_no_home_beside_strong_ones() -> None:
+def test_an_entry_of_low_capacity_owns_no_jobs_beside_larger_entries() -> None:
     entries = {"weak": 0.387, "strong": 2.15}
-    homes = {homes_of(f"key-{number}", 30, entries) for number in range(20)}
-    assert homes == {("strong",)}
+    owners = {homes_of(f"key-{number}", 30, entries) for number in range(20)}
+    assert owners == {("strong",)}
     assert homes_of("key", 30, {"weak": 0.387}) == ("weak",)
     assert homes_of("key", 30, {}) == ()
     assert home_of((), ["m"], "m", 1) is None
 
 
-def test_jobs_spread_over_as_many_entries_as_bear_them() -> None:
-    """Entries of 0.12 cores: the one that ran all jobs was lost, then the next."""
+def test_jobs_are_spread_over_as_many_entries_as_needed() -> None:
+    """Guards against a chain of losses.
+
+    An entry of 0.12 cores that ran all jobs was lost, then the next such entry.
+    """
     small = {f"entry-{number}": 0.12 for number in range(12)}
-    homes = homes_of("lm", 36, small)
-    assert 1 < len(homes) < len(small)
+    owners = homes_of("lm", 36, small)
+    assert 1 < len(owners) < len(small)
     assert len(homes_of("lm", 36, dict.fromkeys(small, 0.8))) == 1
     counts = [len(homes_of("lm", slots, small)) for slots in range(6, 360, 6)]
     assert counts == sorted(counts)
@@ -208,30 +211,30 @@
     # Two steps of each model are open at once.
     for step in range(4):
         spread = Counter(
-            home_of(homes, models, model, step + ahead)
+            home_of(owners, models, model, step + ahead)
             for model in models
             for ahead in range(2)
         )
-        jobs = [spread[home] for home in homes]
+        jobs = [spread[owner] for owner in owners]
         assert max(jobs) - min(jobs) <= 1
 
 
-def test_a_lost_home_is_replaced_alone() -> None:
+def test_the_loss_of_a_job_owner_moves_no_other_owner() -> None:
     small = {f"entry-{number}": 0.12 for number in range(12)}
-    homes = homes_of("lm", 72, small)
-    assert len(homes) > 2
-    for lost in homes:
-        left = {name: part for name, part in small.items() if name != lost}
+    owners = homes_of("lm", 72, small)
+    assert len(owners) > 2
+    for lost in owners:
+        left = {name: cores for name, cores in small.items() if name != lost}
         after = homes_of("lm", 72, left)
-        assert len(after) == len(homes)
-        assert set(homes) - {lost} <= set(after)
+        assert len(after) == len(owners)
+        assert set(owners) - {lost} <= set(after)
 
 
-def test_homes_share_engines_without_a_gap() -> None:
+def test_job_owners_divide_all_engines_without_overlap() -> None:
     engines = [f"10.0.0.{number}:80" for number in range(10, 20)]
     own = [
-        set(engines) - engines_of_others(home, ("x", "y"), engines)
-        for home in ("x", "y")
+        set(engines) - engines_of_others(owner, ("x", "y"), engines)
+        for owner in ("x", "y")
     ]
     assert own[0] | own[1] == set(engines)
     assert not own[0] & own[1]
@@ -241,7 +244,11 @@
 
 @pytest.mark.parametrize("models", [1, 2, 4])
 def test_loads_leave_half_of_a_models_engines_in_service(models: int) -> None:
-    """Plays twelve versions; engines stay fresh, and loads are as many as are free."""
+    """Simulates twelve versions.
+
+    Some engine of each model serves the previous version during the loads, and the
+    number of loads at a time is limited.
+    """
     names = [f"model-{number}" for number in range(models)]
     engines = 8
     loaded = [dict.fromkeys(names, 1) for _ in range(engines)]
@@ -263,8 +270,11 @@
     assert in_use == [13] * models
 
 
-def test_an_engine_that_lapses_moves_no_other_engines_turn() -> None:
-    """Jalrekha quiet-1: a lapse changed the turns, and four of five engines loaded."""
+def test_an_engine_whose_entry_lapses_changes_no_other_rank() -> None:
+    """Guards against simultaneous loads after a lapsed list entry.
+
+    If the lapse changes the ranks, four of five engines load at once.
+    """
     addresses = [f"10.0.0.{number}:80" for number in range(1, 6)]
     seen = remembered_places({}, addresses, 0.0)
     without_second = [item for item in addresses if item != "10.0.0.2:80"]
@@ -290,7 +300,10 @@
 
 
 def test_a_full_object_of_texts_is_saved_again_as_they_grow() -> None:
-    """The sum of its events stays: the shorter text leaves it as the longer grows."""
+    """Guards against a comparison of the sums of events.
+
+    The sum stays the same if a growing text displaces a shorter text.
+    """
     assert should_save({"a": 40, "b": 32}, {"a": 72})
 
 
@@ -298,7 +311,9 @@
     ("last_bytes", "interval_s"),
     [(0, 0.4), (200_000, 0.4), (800_000, 1.0), (5_000_000, 1.5)],
 )
-def test_checkpoints_spare_the_link(last_bytes: int, interval_s: float) -> None:
+def test_large_checkpoints_are_saved_less_often(
+    last_bytes: int, interval_s: float
+) -> None:
     assert save_interval_s(last_bytes) == interval_s
 
 
@@ -312,7 +327,7 @@
         (611.0, False, True),
     ],
 )
-def test_results_stay_as_long_as_promised(
+def test_results_are_kept_for_the_retention_time(
     age_s: float, is_ended: bool, forgets: bool
 ) -> None:
     assert may_forget(age_s, 120.0, is_ended) is forgets
@@ -329,7 +344,9 @@
         ([95] * 20, 10),
     ],
 )
-def test_as_many_as_one_object_holds(sizes: list[int], count: int) -> None:
+def test_a_batch_holds_as_many_results_as_fit_into_one_object(
+    sizes: list[int], count: int
+) -> None:
     assert fitting_count(sizes, 1000) == count
 
 
--- a/pistachioglade/decisions/tests/test_store_outage.py
+++ b/pistachioglade/decisions/tests/test_store_outage.py
@@ -1,4 +1,4 @@
-"""What counts as an outage of the store, call by call."""
+"""Tests of the detection of an outage of the store, call by call."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 
 from .. import StoreOutage, may_have_lapsed
 
-#: Calls as (begun, ended, whether any way answered), when to ask, and the age then.
+#: Calls as (begun, ended, whether any route answered), the time of the check, and the
+#: expected time since the outage.
 _CASES = {
     "every call is answered": ([(0.0, 0.1, True), (1.0, 1.1, True)], 2.0, None),
     "one call is refused": ([(0.0, 0.1, True), (1.0, 1.0, False)], 1.4, None),
@@ -50,7 +51,7 @@
 
 
 @pytest.mark.parametrize("name", _CASES)
-def test_an_outage_is_what_no_way_reaches(name: str) -> None:
+def test_an_outage_is_detected_only_if_no_route_answers(name: str) -> None:
     calls, at_s, expected_s = _CASES[name]
     outage = StoreOutage()
     for begun_s, ended_s, is_answered in calls:
@@ -67,7 +68,7 @@
     ("outage_age_s", "may"),
     [(None, False), (0.0, True), (2.0, True), (2.19, True), (2.21, False)],
 )
-def test_instances_may_lapse_in_an_outage_and_two_seconds_behind_it(
+def test_instances_may_have_lapsed_until_two_seconds_after_an_outage(
     outage_age_s: float | None, may: bool
 ) -> None:
     assert may_have_lapsed(outage_age_s) is may
