--- a/pistachioglade/decisions/_instance_choice.py
+++ b/pistachioglade/decisions/_instance_choice.py
@@ -203,7 +203,7 @@
             self.event_gap_s = known_s + _PACE_WEIGHT * (gap_s - known_s)
 
     def pace_s(self, now_s: float) -> float | None:
-        """Return the mean gap in seconds; None if none was measured lately."""
+        """Return the mean gap in seconds; None if no recent gap is known."""
         return self.event_gap_s if now_s - self.gap_measured_s < _PACE_TTL_S else None
 
 
@@ -298,7 +298,7 @@
     remaining_events: int | None,
     now_s: float,
 ) -> bool:
-    """Whether a running sample ends sooner if it continues at another instance.
+    """Whether a running sample ends sooner at another instance.
 
     A move costs one processing of the prompt and the text so far, about the time of two
     events. The move has to save more, and an instance that isn't slow has to have a
