--- a/pistachioglade/jobs/__init__.py
+++ b/pistachioglade/jobs/__init__.py
@@ -1,4 +1,4 @@
-"""Jobs: how they live in the store, who runs them, and their results."""
+"""Jobs: their layout in the store, their owners and runs, and their results."""
 
 from ._cleaner import JobCleaner
 from ._ledger import JobLedger, JobState
--- a/pistachioglade/jobs/_job_run.py
+++ b/pistachioglade/jobs/_job_run.py
@@ -1,4 +1,4 @@
-"""One job at the node that runs it: its samples, their scores, its results."""
+"""The run of one job at its owner: samples, scores and results."""
 
 from __future__ import annotations
 
@@ -15,47 +15,50 @@
 from ..messages import SampleTexts, TextRecord
 from ..metrics import Metrics
 from ..store import StoreClient
+from ._carried_texts import CarriedTexts
 from ._ledger import JobLedger, JobState
-from ._left_over import LeftOverTexts
 from ._result_writer import ResultWriter
 from ._sample_try import SampleText, SampleTry, TryEnd, TryResult
 
 
 @attrs.define(eq=False)
 class Sample:
-    """An item that this node works on."""
+    """An item without a result, and the state of its tries."""
 
     # The item.
     item: Item
-    # Its text so far.
+    # Text generated so far.
     text: SampleText = attrs.field(factory=SampleText)
-    # Answers of 500 that it got.
+    # Number of tries that the engine answered with 500.
     failures: int = 0
     # Consecutive tries whose engine connection was lost before any event.
     crashes: int = 0
-    # Earliest time of its next placement, in seconds of the monotonic clock.
+    # Monotonic time before which the sample is not started again, in seconds.
     not_before_s: float = 0.0
-    # Engine that it was last at.
+    # Engine of the last try, unless that try completed the text.
     last_instance: str | None = None
-    # The try in progress; None while it waits.
+    # The try in progress; None while there is none.
     running: SampleTry | None = None
-    # Engine of the try in progress.
+    # Engine of the try in progress; set from the choice of the engine on.
     running_at: str | None = None
-    # Whether it waits for an engine.
+    # Whether the sample waits for an engine.
     is_waiting: bool = True
 
     def result(self, score: str) -> Result:
-        """Return the result of its whole text."""
+        """Return the result of the complete text with its score."""
         versions = tuple(sorted(self.text.versions))
-        return Result(self.item.id, True, self.text.whole, versions, score)
+        return Result(self.item.id, True, self.text.joined, versions, score)
 
 
-#: Pause behind a fault in listing results: a tenth of a step's time.
-_LIST_AGAIN_S: Final = 0.5
+#: Pause after an error while results are written: a tenth of a step's time.
+_WRITE_RETRY_PAUSE_S: Final = 0.5
 
 
 class JobRun:
-    """Works on one job until it is done, ended or taken over."""
+    """Holds one job's samples and writes their results, for the job's owner.
+
+    A run lasts until the job is complete, ended or taken over.
+    """
 
     def __init__(
         self,
@@ -76,7 +79,9 @@
         self.route = route
         # Whether the configuration in force has a route for the job.
         self.is_routed = True
+        # Monotonic time at which the results are due, in seconds.
         self.due_s = due_s
+        # Monotonic time at which unfinished items are given up, in seconds.
         self.give_up_s = give_up_s
         self._results = ResultWriter(
             state,
@@ -92,64 +97,67 @@
             policy,
         )
         self._log = logger(__name__)
-        # Groups that were left over from an earlier job.
-        self._carried: set[str] = set()
-        # Whole texts that wait for their write.
-        self._unlisted: dict[str, TextRecord] = {}
+        # Groups with texts that an ended job left unfinished.
+        self._carried_groups: set[str] = set()
+        # Scored texts whose results are not in the store yet, by item id.
+        self._unstored: dict[str, TextRecord] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        # Writes results once the run has begun.
-        self._writing: asyncio.Task[None] | None = None
-        self._groups = {group: place for place, group in enumerate(_groups_of(job))}
-        # Samples that have no result, by item.
+        # Task that writes results; None before the start.
+        self._writing_task: asyncio.Task[None] | None = None
+        # Index of each group in the job.
+        self._group_indexes = {
+            group: index for index, group in enumerate(_groups_of(job))
+        }
+        # Samples without a result, by item id.
         self.samples = {
             item.id: Sample(item) for item in job.items if item.id not in state.done
         }
 
     @property
     def upstream(self) -> str:
-        """The upstream of most of its samples."""
+        """Upstream of the route's first share."""
         return self.route.shares[0].upstream
 
-    def follow_route(self, route: Route | None) -> None:
-        """Take the route that is in force now; what runs at an engine goes on there."""
+    def update_route(self, route: Route | None) -> None:
+        """Apply the route in force; None if there is none. Running tries go on."""
         self.is_routed = route is not None
         if route is not None:
             self.route = route
 
     def start(self) -> None:
-        """Start writing results as they come."""
-        self._writing = self.spawn(self._list_results())
+        """Start the task that writes results."""
+        self._writing_task = self.spawn(self._write_results())
 
-    async def _list_results(self) -> None:
-        """List results until the job ends; a fault costs a pause, not the job."""
+    async def _write_results(self) -> None:
+        """Write results until cancelled; continue after an error and a pause."""
         while True:
             try:
                 await self._results.run()
             except Exception:
                 self._log.exception("results-failed", job=self.job.id)
-            await asyncio.sleep(_LIST_AGAIN_S)
+            await asyncio.sleep(_WRITE_RETRY_PAUSE_S)
 
     def stop_writing(self) -> None:
-        """List nothing more; what runs at engines runs on."""
-        if self._writing is not None:
-            self._writing.cancel()
+        """Write no more results; samples at engines keep running."""
+        if self._writing_task is not None:
+            self._writing_task.cancel()
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run work that ends with the job."""
+        """Run work in a task that is cancelled when the run stops."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        task.add_done_callback(self._report_crash)
+        task.add_done_callback(self._log_task_error)
         return task
 
-    def _report_crash(self, task: asyncio.Task[None]) -> None:
+    def _log_task_error(self, task: asyncio.Task[None]) -> None:
         if not task.cancelled() and task.exception() is not None:
             self._log.error(
                 "job-task-failed", job=self.job.id, exc_info=task.exception()
             )
 
     def stop(self) -> None:
-        """Give all work on the job up."""
+        """Cancel all tasks of the run."""
         for task in tuple(self._tasks):
             task.cancel()
 
@@ -162,9 +170,9 @@
                 job_id=self.job.id,
                 item_id=sample.item.id,
                 due_s=self.due_s,
-                is_carried=sample.item.group in self._carried,
+                is_carried=sample.item.group in self._carried_groups,
                 group_open=open_by_group[sample.item.group],
-                group_index=self._groups[sample.item.group],
+                group_index=self._group_indexes[sample.item.group],
                 expected_tokens=sample.item.expected_tokens,
                 is_begun=sample.text.last_event is not None,
             )
@@ -172,8 +180,8 @@
             if sample.is_waiting and sample.not_before_s <= now_s
         ]
 
-    def homes(self, group: str) -> set[str]:
-        """Return the engines that run samples of a group."""
+    def engines_of_group(self, group: str) -> set[str]:
+        """Return the engines that run samples of a group now."""
         return {
             sample.running_at
             for sample in self.samples.values()
@@ -181,25 +189,25 @@
         }
 
     def finish(self, sample: Sample, result: Result) -> None:
-        """Queue an item's result for its write."""
+        """Queue an item's result to be written."""
         if self.samples.pop(sample.item.id, None) is None:
             return
         if result.is_completed:
-            self._unlisted[sample.item.id] = _record_of(sample, result.score)
+            self._unstored[sample.item.id] = _text_record_of(sample, result.score)
         self._results.add(result, sample.item.group)
 
     def give_up(self, sample: Sample, reason: str) -> None:
-        """End an item without its text."""
+        """End an item with a result that says that the item is not completed."""
         self._log.warning(
             "item-given-up", job=self.job.id, item=sample.item.id, reason=reason
         )
         self.finish(sample, Result(sample.item.id, False))
 
-    def took_try(self, sample: Sample, result: TryResult) -> bool:
-        """Take the end of a try; return whether the text is whole."""
+    def record_try(self, sample: Sample, result: TryResult) -> bool:
+        """Record how a try ended; return whether the text is complete."""
         sample.running = None
         sample.running_at = None
-        self._note_crash(sample, result)
+        self._record_crash(sample, result)
         match result.end:
             case TryEnd.COMPLETE:
                 return True
@@ -213,7 +221,7 @@
             sample.is_waiting = True
         return False
 
-    def _note_crash(self, sample: Sample, result: TryResult) -> None:
+    def _record_crash(self, sample: Sample, result: TryResult) -> None:
         """Count consecutive crashes of a sample and delay its next try."""
         if not result.is_crash:
             if result.end not in (TryEnd.NOT_RUN, TryEnd.UNREACHED):
@@ -232,22 +240,25 @@
             )
 
     def texts(self) -> SampleTexts:
-        """Return what has been made of the samples that aren't listed."""
+        """Return the texts of samples whose results are not in the store."""
         running = (
-            _record_of(sample, None)
+            _text_record_of(sample, None)
             for sample in self.samples.values()
             if sample.text.last_event is not None
         )
-        unlisted = (
+        unstored = (
             record
-            for record in self._unlisted.values()
+            for record in self._unstored.values()
             if record.item_id not in self.state.done
         )
-        return SampleTexts((*running, *unlisted))
+        return SampleTexts((*running, *unstored))
+
+    def adopt_texts(self, texts: SampleTexts) -> None:
+        """Continue samples that have no text here from texts made elsewhere.
 
-    def take_texts(self, made: SampleTexts) -> None:
-        """Go on from the texts of an earlier owner where nothing has begun."""
-        for record in made.texts:
+        Texts with an event of an older weight version than the job allows are ignored.
+        """
+        for record in texts.texts:
             sample = self.samples.get(record.item_id)
             is_usable = all(item >= self.job.min_version for item in record.versions)
             if sample is None or sample.text.last_event is not None or not is_usable:
@@ -259,21 +270,22 @@
             if record.score is not None:
                 self.finish(sample, sample.result(record.score))
 
-    def take_left_over(self, left_over: LeftOverTexts) -> None:
-        """Go on from texts of an ended job, and start their groups first."""
-        known = left_over.take(sample.item.id for sample in self.samples.values())
-        self._carried = {
-            self.samples[record.item_id].item.group for record in known.texts
+    def adopt_carried_texts(self, carried: CarriedTexts) -> None:
+        """Continue texts that ended jobs left, and start their groups first."""
+        texts = carried.pop_texts(sample.item.id for sample in self.samples.values())
+        self._carried_groups = {
+            self.samples[record.item_id].item.group for record in texts.texts
         }
-        self.take_texts(known)
-
-    # Writing.
+        self.adopt_texts(texts)
 
     def _open_groups(self) -> set[str]:
         return {sample.item.group for sample in self.samples.values()}
 
     def _next_end_s(self) -> float:
-        """Return when the next sample without a result ends, as far as is known."""
+        """Return the monotonic time at which the next sample ends, in seconds.
+
+        Infinity if no sample has a known end.
+        """
         now_s = asyncio.get_running_loop().time()
         ends_s = (
             # A sample that is neither waiting nor running is being scored.
@@ -283,23 +295,23 @@
         )
         return min(ends_s, default=float("inf"))
 
-    def drop_listed(self) -> None:
-        """Forget samples and results that stand in the store already."""
-        listed = self.state.done
-        for item_id in [item_id for item_id in self.samples if item_id in listed]:
+    def drop_stored(self) -> None:
+        """Drop samples and queued results whose items have a result in the store."""
+        stored_ids = self.state.done
+        for item_id in [item_id for item_id in self.samples if item_id in stored_ids]:
             running = self.samples.pop(item_id).running
             if running is not None:
-                running.move()
-        for item_id in [item_id for item_id in self._unlisted if item_id in listed]:
-            del self._unlisted[item_id]
-        self._results.drop_listed()
+                running.interrupt()
+        for item_id in [item_id for item_id in self._unstored if item_id in stored_ids]:
+            del self._unstored[item_id]
+        self._results.drop_stored()
 
-    async def seal(self) -> None:
-        """Keep an earlier owner from listing anything behind what is known here."""
-        await self._results.seal()
+    async def fence_earlier_writers(self) -> None:
+        """Keep an earlier owner from writing results after those known here."""
+        await self._results.fence_earlier_writers()
 
 
-def _record_of(sample: Sample, score: str | None) -> TextRecord:
+def _text_record_of(sample: Sample, score: str | None) -> TextRecord:
     last_event = sample.text.last_event
     assert last_event is not None
     return TextRecord(
--- a/pistachioglade/jobs/_ledger.py
+++ b/pistachioglade/jobs/_ledger.py
@@ -1,4 +1,4 @@
-"""Every job as the store has it, at every node."""
+"""The jobs of the store as each node knows them."""
 
 from __future__ import annotations
 
@@ -23,53 +23,53 @@
     parse_name,
 )
 
-#: Largest page of results that a reader gets, under the megabyte that is allowed.
+#: Most bytes of results in one page, below the allowed megabyte.
 _PAGE_BYTES: Final = 900_000
 
 
 @attrs.define(slots=False, eq=False)
 class JobState:
-    """One job."""
+    """What this node knows of one job: submission, owner, results and readers."""
 
     # Id of the job.
     id: str
-    # The submission; None while only later objects have been seen.
+    # The submission; None while only other objects of the job have been seen.
     submission: Submission | None = None
-    # Entry that runs it; empty while it is not known.
+    # Entry that runs the job; empty while unknown.
     owner: str = ""
-    # Revision of the object that names the owner; 0 for the first owner.
+    # Revision of the object that names the owner; 0 while the first owner has the job.
     owner_revision: int = 0
-    # Entry that ran it before the owner; empty if there was none.
+    # Entry that ran the job before the owner; empty if there was none.
     earlier_owner: str = ""
-    # Whether that entry lived when the job passed on, so that it can be asked.
+    # Whether the earlier owner was alive at the change and can be asked for texts.
     is_earlier_alive: bool = False
-    # Whether the trainer has ended it.
+    # Whether the trainer has ended the job.
     is_ended: bool = False
-    # Results by position, encoded.
+    # Results by position, in JSON.
     results: list[str] = attrs.field(factory=list)
-    # Items that have a result.
+    # Ids of the items that have a result.
     done: set[str] = attrs.field(factory=set)
-    # All batches of results that are known, from the first on.
+    # All known batches of results, from the first on.
     batches: list[BatchRecord] = attrs.field(factory=list)
-    # When this process saw its submission, in seconds of the monotonic clock.
+    # Monotonic time at which this process first saw the submission, in seconds.
     first_seen_s: float = 0.0
-    # Whether the store may have results that aren't known here, though it is new.
+    # Whether the store may have results that aren't known here, even if the job is new.
     may_lack_results: bool = False
-    # Readers that wait for results.
+    # Futures of readers that wait for results.
     waiters: set[asyncio.Future[None]] = attrs.field(factory=set)
-    # Readers that ask its owner.
+    # Futures of readers that wait for the owner's answer or a new owner.
     owner_waiters: set[asyncio.Future[None]] = attrs.field(factory=set)
 
     @cached_property
     def job(self) -> Job | Refusal:
-        """The submission, decoded, once all of it is here."""
+        """The decoded submission; only valid while ``is_whole``."""
         assert self.submission is not None and self.is_whole
-        sent = self.submission
-        return decode_job(self.id, sent.host, sent.path, sent.fields)
+        submission = self.submission
+        return decode_job(self.id, submission.host, submission.path, submission.fields)
 
     @property
     def total(self) -> int:
-        """How many items it has."""
+        """Number of items."""
         assert self.submission is not None
         if not self.submission.is_whole:
             return self.submission.total
@@ -77,7 +77,7 @@
 
     @property
     def model(self) -> str:
-        """Model that it asks for."""
+        """Model that the job asks for."""
         assert self.submission is not None
         if not self.submission.is_whole:
             return self.submission.model
@@ -85,28 +85,28 @@
 
     @property
     def step(self) -> int:
-        """Number of the step that it is."""
+        """Number of the trainer's step that the job belongs to."""
         return 0 if self.submission is None else self.submission.step
 
     @property
     def is_whole(self) -> bool:
-        """Whether all of its submission is here."""
+        """Whether the submission is set_fields here, with the trainer's fields."""
         return self.submission is not None and self.submission.is_whole
 
-    def complete(self, fields: Mapping[str, Any]) -> None:
-        """Take what the trainer sent, joined from its parts."""
+    def set_fields(self, fields: Mapping[str, Any]) -> None:
+        """Set the trainer's fields, joined from the stored parts."""
         assert self.submission is not None
         self.submission = attrs.evolve(self.submission, fields=fields, part_count=0)
 
     @property
     def is_open(self) -> bool:
-        """Whether items may still run for it."""
+        """Whether items of the job may still run."""
         if self.submission is None or self.is_ended:
             return False
         return len(self.done) < self.total
 
     def page(self, after: int) -> tuple[str, ...]:
-        """Return the results from a position on, as many as a page holds."""
+        """Return results from a position on: one, and more up to a page's size."""
         chosen: list[str] = []
         size = 0
         for result in self.results[after:]:
@@ -117,7 +117,7 @@
         return tuple(chosen)
 
     async def wait_for_more(self, after: int, within_s: float) -> None:
-        """Wait until a result stands at a position, or time is up."""
+        """Wait until a result at a position is known, or the time is over."""
         if len(self.results) > after or within_s <= 0.0:
             return
         waiter = asyncio.get_running_loop().create_future()
@@ -130,54 +130,57 @@
         finally:
             self.waiters.discard(waiter)
 
-    def owner_change(self) -> asyncio.Future[None]:
-        """Return a future that is done when the job passes on; cancel it when done."""
+    def owner_change_future(self) -> asyncio.Future[None]:
+        """Return a future that is done when the owner changes.
+
+        The caller cancels the future when it is not needed any more.
+        """
         waiter = asyncio.get_running_loop().create_future()
         self.owner_waiters.add(waiter)
         waiter.add_done_callback(self.owner_waiters.discard)
         return waiter
 
     @property
-    def next_batch(self) -> int:
-        """Number of the batch that comes next."""
+    def next_batch_number(self) -> int:
+        """Number of the next batch of results."""
         return len(self.batches)
 
     def add_batch(self, number: int, batch: BatchRecord) -> None:
-        """Take the next batch; one that is known already says the same again."""
-        if number != self.next_batch:
+        """Add the next batch; ignore one with another number, such as a known batch."""
+        if number != self.next_batch_number:
             return
         self.batches.append(batch)
         self.results.extend(batch.results)
         self.done.update(batch.item_ids)
-        self.wake()
+        self.wake_result_waiters()
 
-    def wake(self) -> None:
-        """Let readers look again."""
-        _end(self.waiters)
+    def wake_result_waiters(self) -> None:
+        """Wake the readers that wait for results."""
+        _wake_all(self.waiters)
 
-    def passed_on(self) -> None:
-        """Let readers ask the new owner."""
-        _end(self.owner_waiters)
+    def wake_owner_waiters(self) -> None:
+        """Wake the readers that wait for the earlier owner's answer."""
+        _wake_all(self.owner_waiters)
 
 
-def _end(waiters: Iterable[asyncio.Future[None]]) -> None:
+def _wake_all(waiters: Iterable[asyncio.Future[None]]) -> None:
     for waiter in tuple(waiters):
         if not waiter.done():
             waiter.set_result(None)
 
 
-def _submit(state: JobState, value: Any) -> Refusal | None:
-    read = decode_submission(value)
-    if isinstance(read, Refusal):
-        return read
+def _apply_submission(state: JobState, value: Any) -> Refusal | None:
+    submission = decode_submission(value)
+    if isinstance(submission, Refusal):
+        return submission
     if state.submission is None:
         state.first_seen_s = asyncio.get_running_loop().time()
-    state.submission = read
-    state.owner = state.owner or read.owner
+    state.submission = submission
+    state.owner = state.owner or submission.owner
     return None
 
 
-def _pass_on(state: JobState, entry: Entry) -> Refusal | None:
+def _apply_owner_change(state: JobState, entry: Entry) -> Refusal | None:
     change = decode_owner_change(entry.value)
     if isinstance(change, Refusal):
         return change
@@ -185,33 +188,33 @@
     state.is_earlier_alive = change.is_alive
     state.owner = change.owner
     state.owner_revision = entry.revision
-    state.passed_on()
+    state.wake_owner_waiters()
     return None
 
 
 class JobLedger:
-    """Builds the jobs from the objects of the store."""
+    """Holds the jobs, built from the objects of the store."""
 
     def __init__(self) -> None:
         self._log = logger(__name__)
-        # Jobs by id.
+        # All jobs, by id.
         self.jobs: dict[str, JobState] = {}
-        # Called with each job that has changed.
+        # Called with a job after each change of its state.
         self.on_change: list[Callable[[JobState], None]] = []
 
     def find(self, job_id: str) -> JobState | None:
-        """Return a job whose submission is known."""
+        """Return a job; None while its submission isn't known."""
         state = self.jobs.get(job_id)
         return state if state is not None and state.submission is not None else None
 
     def take(self, entry: Entry, is_removed: bool) -> None:
-        """Take an object, or its removal."""
+        """Apply an object of the store, or its removal."""
         name = parse_name(entry.name)
         if name is None:
             self._log.error("job-record-unknown", name=entry.name)
             return
         if is_removed:
-            self._removed(name)
+            self._remove(name)
             return
         state = self.jobs.setdefault(name.job_id, JobState(name.job_id))
         refusal = self._apply(state, name, entry)
@@ -223,18 +226,18 @@
         for callback in self.on_change:
             callback(state)
 
-    def _removed(self, name: RecordName) -> None:
+    def _remove(self, name: RecordName) -> None:
         if name.kind is RecordKind.SUBMISSION:
             self.jobs.pop(name.job_id, None)
 
     def _apply(self, state: JobState, name: RecordName, entry: Entry) -> Refusal | None:
-        """Put a record in force; what can't be read changes nothing."""
+        """Apply a record; an unreadable record changes nothing and gives a refusal."""
         match name.kind:
             case RecordKind.SUBMISSION:
-                return None if state.is_whole else _submit(state, entry.value)
+                return None if state.is_whole else _apply_submission(state, entry.value)
             case RecordKind.OWNER:
                 if entry.revision > state.owner_revision:
-                    return _pass_on(state, entry)
+                    return _apply_owner_change(state, entry)
             case RecordKind.END:
                 state.is_ended = True
             case RecordKind.BATCH:
@@ -242,7 +245,7 @@
         return None
 
     def add_batch(self, state: JobState, number: int, batch: BatchRecord) -> None:
-        """Take a batch of results that the store has."""
+        """Add a batch of results that the store has."""
         state.add_batch(number, batch)
         for callback in self.on_change:
             callback(state)
--- a/pistachioglade/jobs/_owner.py
+++ b/pistachioglade/jobs/_owner.py
@@ -1,4 +1,4 @@
-"""Which jobs this node runs, and how they begin, pass on and end."""
+"""Starts, hands over and ends the runs of the jobs that this node owns."""
 
 from __future__ import annotations
 
@@ -18,31 +18,31 @@
 from ..metrics import Metrics
 from ..platform import Entry
 from ..store import StoreClient
+from ._carried_texts import CarriedTexts
 from ._job_run import JobRun
 from ._ledger import JobLedger, JobState
-from ._left_over import LeftOverTexts
 from ._reader import JobReader, node_of
 from ._sample_scheduler import SampleScheduler
-from ._text_saver import TextSaver, longest_texts, saved_texts
-
-#: Pause before the results of a job that is taken over are read again.
-_CATCH_UP_PAUSE_S: Final = 0.2
-#: Longest time for which samples of a job that has passed on run on here: its next
-#: owner asks for their texts by then, or starts them elsewhere.
-_RUN_ON_S: Final = 0.4
-#: Time for which samples that haven't begun wait for jobs that are being taken over:
-#: what of those was running elsewhere ends a step, and goes on first.
-_CATCH_UP_FIRST_S: Final = 0.4
-#: Time that results are due after submission where the route doesn't say.
-_DEFAULT_AIM_S: Final = 60.0
-#: Time after which items are given up where the route doesn't say.
+from ._text_saver import TextSaver, longest_texts, read_saved_texts
+
+#: Pause before a failed read of a job that is taken over is repeated.
+_READ_RETRY_PAUSE_S: Final = 0.2
+#: Longest time for which samples of a handed-over job keep running here: by then the
+#: next owner has asked for their texts or has started them elsewhere.
+_RUN_AFTER_HANDOVER_S: Final = 0.4
+#: Longest time for which new samples wait while jobs are being taken over: samples of
+#: those jobs that were running elsewhere determine when a step ends, so they go first.
+_CATCH_UP_PRIORITY_S: Final = 0.4
+#: Time from submission until results are due if the route sets none.
+_DEFAULT_DUE_AFTER_S: Final = 60.0
+#: Time after which unfinished items are given up if the route sets none.
 _DEFAULT_RETENTION_S: Final = 600.0
-#: Pause before a job begins again that an error kept from beginning.
-_BEGIN_AGAIN_S: Final = 0.5
+#: Pause before another attempt to start a job whose start failed with an error.
+_START_RETRY_PAUSE_S: Final = 0.5
 
 
 class JobOwner:
-    """Runs this node's jobs."""
+    """Keeps one run for each open job that this node owns."""
 
     def __init__(
         self,
@@ -61,22 +61,27 @@
     ) -> None:
         self._metrics = metrics
         self._policy = policy
-        # Name of this node as an owner, with its address.
+        # Name of this node as an owner: node name, at sign, address.
         self.name = name
         # Nonce of this process.
         self.boot = boot
         self._reader = reader
-        # Texts of ended jobs, whose groups may come again.
-        self._left_over = LeftOverTexts()
-        # Runs whose texts the next owner may still ask for.
+        # Texts of unfinished samples of ended jobs, whose groups may be resubmitted.
+        self._carried_texts = CarriedTexts()
+        # Runs of jobs that have passed to another owner, which may still ask for their
+        # texts; by job id.
         self._handed_over: dict[str, JobRun] = {}
-        self._beginning: dict[str, asyncio.Task[None]] = {}
+        # Tasks that start runs, or read the owners of jobs whose runs were superseded,
+        # by job id.
+        self._starting: dict[str, asyncio.Task[None]] = {}
         self._view = view
         self._ledger = ledger
         self._store = store
         self._log = logger(__name__)
-        # Jobs that run here, by id.
+        # Runs of the jobs that this node owns, by job id.
         self.runs: dict[str, JobRun] = {}
+        # Monotonic time until which new samples wait for jobs that are being taken
+        # over, in seconds.
         self._catch_up_until_s = 0.0
         self._scheduler = SampleScheduler(
             view,
@@ -87,16 +92,15 @@
             policy,
             engines_of_others,
         )
-        # Called when a job begins to run here.
+        # Called when a run has started.
         self.on_begin: list[Callable[[], None]] = []
-        # When jobs began to run here; what is seen for the first time later is new.
+        # Monotonic time at which this owner was enabled, in seconds; jobs that are
+        # first seen later are new.
         self.enabled_s = float("inf")
         ledger.on_change.append(self.reconcile)
 
-    # Which jobs run here.
-
     def reconcile(self, state: JobState) -> None:
-        """Start or stop a job's run by what the ledger says."""
+        """Start or stop a job's run according to the ledger."""
         run = self.runs.get(state.id)
         should_run = state.is_open and state.owner == self.name
         handed_over = None if state.is_open else self._handed_over.pop(state.id, None)
@@ -105,11 +109,11 @@
         if run is not None and not should_run:
             del self.runs[state.id]
             if state.is_open:
-                self._let_go(run)
+                self._hand_over(run)
             else:
                 run.stop()
                 if self._policy.uses(Mechanism.CARRIED_TEXTS):
-                    self._left_over.keep(run.texts())
+                    self._carried_texts.add_texts(run.texts())
             self._log.info(
                 "job-run-ended",
                 job=state.id,
@@ -119,153 +123,162 @@
                 total=state.total,
             )
         elif run is not None:
-            run.drop_listed()
+            run.drop_stored()
         elif (
-            should_run
-            and self._scheduler.is_enabled
-            and state.id not in self._beginning
+            should_run and self._scheduler.is_enabled and state.id not in self._starting
         ):
-            if not self._beginning:
+            if not self._starting:
                 now_s = asyncio.get_running_loop().time()
-                self._catch_up_until_s = now_s + _CATCH_UP_FIRST_S
-            work = self._catch_up_and_begin(state)
+                self._catch_up_until_s = now_s + _CATCH_UP_PRIORITY_S
+            work = self._catch_up_and_start(state)
             task = asyncio.get_running_loop().create_task(work)
-            task.add_done_callback(partial(self._begin_again, state))
-            self._beginning[state.id] = task
+            task.add_done_callback(partial(self._retry_start, state))
+            self._starting[state.id] = task
 
-    def _begin_again(self, state: JobState, task: asyncio.Task[None]) -> None:
-        """Begin a job again that an unforeseen error kept from beginning."""
+    def _retry_start(self, state: JobState, task: asyncio.Task[None]) -> None:
+        """Schedule another start of a job whose start failed with an error."""
         if task.cancelled() or task.exception() is None:
             return
         self._log.error("job-not-begun", job=state.id, exc_info=task.exception())
         loop = asyncio.get_running_loop()
-        loop.call_later(_BEGIN_AGAIN_S, self.reconcile, state)
+        loop.call_later(_START_RETRY_PAUSE_S, self.reconcile, state)
 
-    def _let_go(self, run: JobRun) -> None:
-        """Let a job go whose next owner will ask for its texts.
+    def _hand_over(self, run: JobRun) -> None:
+        """Stop writing results of a job that has another owner now.
 
-        Its samples run on while the next owner reads the job.
+        Its samples keep running for a while, until the next owner has read the job and
+        asks for their texts.
         """
         self._handed_over[run.state.id] = run
         if not self._policy.uses(Mechanism.RUNNING_ON):
             run.stop()
             return
         run.stop_writing()
-        asyncio.get_running_loop().call_later(_RUN_ON_S, run.stop)
+        asyncio.get_running_loop().call_later(_RUN_AFTER_HANDOVER_S, run.stop)
 
     def _is_catching_up(self) -> bool:
-        """Whether jobs are being taken over whose samples should go on first."""
-        is_early = asyncio.get_running_loop().time() < self._catch_up_until_s
-        return bool(self._beginning) and is_early
+        """Return whether new samples wait for jobs that are being taken over."""
+        is_before_limit = asyncio.get_running_loop().time() < self._catch_up_until_s
+        return bool(self._starting) and is_before_limit
 
-    async def _catch_up_and_begin(self, state: JobState) -> None:
-        """Begin a job once all its results that the store has are known."""
+    async def _catch_up_and_start(self, state: JobState) -> None:
+        """Start a job's run once all of its stored results are known here."""
         try:
-            if not await self._complete(state):
+            if not await self._read_submission(state):
                 return
-            run = self._run_for(state)
+            run = self._create_run(state)
             if run is None:
                 return
-            made = SampleTexts(())
-            if self._may_have_results(state):
+            texts = SampleTexts(())
+            if self._may_have_unread_results(state):
                 while await self._reader.read_stored(state) is not None:
-                    await asyncio.sleep(_CATCH_UP_PAUSE_S)
-                saved = await saved_texts(self._store, node_of(state.owner), state.id)
-                await run.seal()
-                # Last, since the earlier owner's samples run on until it is asked.
-                made = longest_texts([saved, await self._made_by_earlier(state)])
+                    await asyncio.sleep(_READ_RETRY_PAUSE_S)
+                stored = await read_saved_texts(
+                    self._store, node_of(state.owner), state.id
+                )
+                await run.fence_earlier_writers()
+                # The earlier owner's samples run until it is asked, so that it is asked
+                # last.
+                texts = longest_texts(
+                    [stored, await self._read_texts_of_earlier_owner(state)]
+                )
         finally:
-            del self._beginning[state.id]
+            del self._starting[state.id]
         if state.is_open and state.owner == self.name and self._scheduler.is_enabled:
-            run.drop_listed()
-            run.take_texts(made)
-            run.take_left_over(self._left_over)
-            self._begin(run)
+            run.drop_stored()
+            run.adopt_texts(texts)
+            run.adopt_carried_texts(self._carried_texts)
+            self._start_run(run)
 
-    async def _complete(self, state: JobState) -> bool:
-        """Read the rest of a submission; return whether all of it is here now."""
+    async def _read_submission(self, state: JobState) -> bool:
+        """Read the rest of a submission; return whether it is complete here."""
         while state.is_open:
             missing = await self._reader.complete(state)
             if missing is None:
                 return True
             if missing.kind in (ErrorKind.INTERNAL, ErrorKind.NOT_FOUND):
-                # Parts are written before the job; ones that lack now never come.
+                # Parts are written before the job, so that a missing part never comes.
                 self._log.error("job-unreadable", job=state.id, reason=missing.reason)
                 return False
-            await asyncio.sleep(_CATCH_UP_PAUSE_S)
+            await asyncio.sleep(_READ_RETRY_PAUSE_S)
         return False
 
-    async def _made_by_earlier(self, state: JobState) -> SampleTexts:
-        """Return the texts that an earlier owner has made.
+    async def _read_texts_of_earlier_owner(self, state: JobState) -> SampleTexts:
+        """Return the texts that the earlier owner generated.
 
-        A node that starts again has run the job itself since it took it over, so that
-        its own save is newer than the earlier owner's. Of two texts of a sample the
-        longer one counts.
+        A restarted node may have run the job itself after the earlier owner, so that
+        its own saved texts can be newer. The caller uses the longer of two texts of a
+        sample.
         """
         if not state.earlier_owner:
             return SampleTexts(())
         if state.is_earlier_alive:
-            told = await self._reader.texts(state.earlier_owner, state.id)
-            if told.texts:
-                return told
-        return await saved_texts(self._store, node_of(state.earlier_owner), state.id)
+            answer = await self._reader.fetch_texts(state.earlier_owner, state.id)
+            if answer.texts:
+                return answer
+        return await read_saved_texts(
+            self._store, node_of(state.earlier_owner), state.id
+        )
 
     def _all_texts(self) -> dict[str, SampleTexts] | None:
-        """Return the texts of all runs; None while one may still read earlier ones."""
-        if self._beginning or not self._scheduler.is_enabled:
+        """Return the texts of all runs; None while a start may read saved ones."""
+        if self._starting or not self._scheduler.is_enabled:
             return None
         return {job_id: run.texts() for job_id, run in self.runs.items()}
 
     async def save_texts(self) -> None:
-        """Save the texts of all runs now and then, for good."""
+        """Save the texts of all runs periodically, until cancelled."""
         if not self._policy.uses(Mechanism.SAVED_TEXTS):
             return
         await TextSaver(self._store, node_of(self.name), self._all_texts).run()
 
-    def _may_have_results(self, state: JobState) -> bool:
-        """Whether results of a job may stand in the store that aren't known here."""
+    def _may_have_unread_results(self, state: JobState) -> bool:
+        """Return whether the store may hold results of a job that aren't known here."""
         assert state.submission is not None
         is_first_owner = not state.owner_revision
         is_new = state.first_seen_s > self.enabled_s
         return state.may_lack_results or not (is_first_owner and is_new)
 
     def disable(self) -> None:
-        """Start nothing more, as at a planned stop."""
+        """Start no more samples and runs, as at a planned stop."""
         self._scheduler.is_enabled = False
 
     def resume(self) -> None:
-        """Start samples again: a planned stop found no other entry for some jobs."""
+        """Start samples again after a planned stop found no other owner for a job."""
         self._scheduler.is_enabled = True
-        self._scheduler.pump()
+        self._scheduler.start_waiting_samples()
 
     async def look_around(self) -> None:
-        """Start, move and give up samples, for good."""
-        await self._scheduler.look_around()
+        """Start, move and give up samples periodically, until cancelled."""
+        await self._scheduler.run()
 
     def texts(self, job_id: str) -> SampleTexts:
-        """Return what has been made of a job's samples here, for its next owner."""
+        """Return the texts of a job's samples for its next owner.
+
+        Samples of a handed-over job stop here, since the next owner continues them.
+        """
         handed_over = self._handed_over.get(job_id)
         run = self.runs.get(job_id) or handed_over
-        made = SampleTexts(()) if run is None else run.texts()
+        texts = SampleTexts(()) if run is None else run.texts()
         if handed_over is not None and run is handed_over:
             run.stop()
-        return made
+        return texts
 
     def enable(self) -> None:
-        """Run jobs, now that all that the store has of them is known."""
+        """Start to run jobs, once all jobs of the store are known."""
         self._scheduler.is_enabled = True
         self.enabled_s = asyncio.get_running_loop().time()
         self.reconcile_all()
 
     def reconcile_all(self) -> None:
-        """Look at every job, as when routes have changed."""
+        """Update the routes of all runs and reconcile every job."""
         for run in self.runs.values():
-            run.follow_route(self._route_of(run.job))
+            run.update_route(self._route_of(run.job))
         for state in tuple(self._ledger.jobs.values()):
             self.reconcile(state)
 
     def _route_of(self, job: Job) -> Route | None:
-        """Return the route of a job; None if the configuration has none for it."""
+        """Return the route of a job; None if the configuration has none."""
         return self._route_at(job.host, job.path)
 
     def _route_at(self, host: str, path: str) -> Route | None:
@@ -278,23 +291,27 @@
 
     def upstream_of(self, state: JobState) -> str | None:
         """Return the upstream of a job; None while its route isn't known."""
-        sent = state.submission
-        route = None if sent is None else self._route_at(sent.host, sent.path)
+        submission = state.submission
+        route = (
+            None
+            if submission is None
+            else self._route_at(submission.host, submission.path)
+        )
         return None if route is None else route.shares[0].upstream
 
-    def _run_for(self, state: JobState) -> JobRun | None:
-        """Return a run of a job, not begun; None while its route isn't known."""
+    def _create_run(self, state: JobState) -> JobRun | None:
+        """Return a run of a job, not started; None while its route isn't known."""
         job = state.job
         route = None if isinstance(job, Refusal) else self._route_of(job)
         if isinstance(job, Refusal) or route is None:
             return None
         assert state.submission is not None
-        aim_s = route.run_aim_s or _DEFAULT_AIM_S
-        # The time of day orders steps only: a clock that has stepped must not have
-        # an item given up, so that retention counts from when this process first saw
-        # the job.
-        told_age_s = time.time() - state.submission.accepted_s
-        age_s = min(max(0.0, told_age_s), aim_s)
+        due_after_s = route.run_aim_s or _DEFAULT_DUE_AFTER_S
+        # The wall clock only sets the due time, which orders steps. Retention counts
+        # from when this process first saw the job: a stepped wall clock must not cause
+        # an item to be given up.
+        reported_age_s = time.time() - state.submission.accepted_s
+        age_s = min(max(0.0, reported_age_s), due_after_s)
         accepted_s = asyncio.get_running_loop().time() - age_s
         return JobRun(
             state,
@@ -303,14 +320,14 @@
             self._ledger,
             self._store,
             f"{self.name}:{self.boot}",
-            accepted_s + aim_s,
+            accepted_s + due_after_s,
             state.first_seen_s + (route.retention_s or _DEFAULT_RETENTION_S),
-            self._superseded,
+            self._stop_superseded_run,
             self._metrics,
             self._policy,
         )
 
-    def _begin(self, run: JobRun) -> None:
+    def _start_run(self, run: JobRun) -> None:
         state, job = run.state, run.job
         self.runs[state.id] = run
         run.start()
@@ -325,12 +342,12 @@
             open_items=len(run.samples),
             total=state.total,
         )
-        self._scheduler.pump()
+        self._scheduler.start_waiting_samples()
         for callback in self.on_begin:
             callback()
 
     def samples_by_engine(self) -> dict[str, int]:
-        """Return how many samples of this node's jobs are at each engine."""
+        """Return how many samples of this node's jobs run at each engine."""
         return dict(
             Counter(
                 sample.running_at
@@ -341,7 +358,7 @@
         )
 
     def fellow_owners(self) -> set[str]:
-        """Return the other owners of open jobs, whose samples share engines."""
+        """Return the other owners of open jobs; their samples use the same engines."""
         return {
             state.owner
             for state in self._ledger.jobs.values()
@@ -349,29 +366,29 @@
         }
 
     def models(self) -> set[str]:
-        """Return the models of the jobs that run here."""
+        """Return the models of the jobs that this node runs."""
         return {run.job.model for run in self.runs.values()}
 
-    def _superseded(self, run: JobRun) -> None:
-        """Stop a run whose results another node writes, and learn who owns the job."""
+    def _stop_superseded_run(self, run: JobRun) -> None:
+        """Stop a run whose results another node writes, and read the job's owner."""
         state = run.state
         self._log.warning("job-run-superseded", job=state.id, owner=state.owner)
         self.runs.pop(state.id, None)
         state.may_lack_results = True
-        task = asyncio.get_running_loop().create_task(self._learn_owner(state))
-        task.add_done_callback(partial(self._begin_again, state))
-        self._beginning[state.id] = task
+        task = asyncio.get_running_loop().create_task(self._read_owner(state))
+        task.add_done_callback(partial(self._retry_start, state))
+        self._starting[state.id] = task
         run.stop()
 
-    async def _learn_owner(self, state: JobState) -> None:
+    async def _read_owner(self, state: JobState) -> None:
         try:
             while True:
-                stored = await self._reader.stored_owner(state.id)
+                stored = await self._reader.read_owner(state.id)
                 if isinstance(stored, Entry) or stored.kind is ErrorKind.NOT_FOUND:
                     break
-                await asyncio.sleep(_CATCH_UP_PAUSE_S)
+                await asyncio.sleep(_READ_RETRY_PAUSE_S)
         finally:
-            del self._beginning[state.id]
+            del self._starting[state.id]
         if isinstance(stored, Entry):
             self._ledger.take(stored, False)
         self.reconcile(state)
--- a/pistachioglade/jobs/_records.py
+++ b/pistachioglade/jobs/_records.py
@@ -1,26 +1,26 @@
-"""How a job lives in the store: one object, and small ones that only ever add to it.
+"""Layout of jobs in the store: one object per job, and small objects that add to it.
 
-Everything is created once and never changed, but for the owner. So a repeated write is
-idempotent, a late one is harmless, and of two writers of one position the store takes
-the first.
+All objects but the owner's are created once and never changed. A repeated write is
+therefore idempotent, a late write is harmless, and of two writers of one position the
+store accepts the first.
 
-Every entry watches the small kind of jobs:
+Every entry watches the kind of jobs, whose objects are small:
 
-    JOB              the submission's frame, with its first owner
-    JOB.owner        who runs it now, if that has changed
-    JOB.end          the trainer has ended it
+    JOB              the submission without the trainer's fields, with the first owner
+    JOB.owner        the entry that runs the job now, after a change
+    JOB.end          the trainer has ended the job
 
-Nobody watches results; readers get them from the owner, or read them:
+No entry watches the kind of results; readers ask the owner or read the objects:
 
     JOB.rN           the N-th batch of results
-    JOB.pDIGEST.N    the N-th part of what the trainer sent
+    JOB.pDIGEST.N    the N-th part of the trainer's fields
 
-What a trainer sent, 50 to 100 kB a job, is read by the entry that runs the job and by
-few others. In the watched kind, all entries of a fleet that starts again would read all
-of it at once.
+The trainer's fields, 50 to 100 kB a job, are read by the entry that runs the job
+and by few others. In the watched kind, all entries of a restarting fleet would read all
+of them at once.
 
-Texts of samples that are not listed stand in one object for each node, the one thing
-that is replaced, since losing any state of it costs only time.
+Texts of samples without a stored result are in one object for each node. That object is
+replaced at each save, since losing any state of it costs only time.
 """
 
 from __future__ import annotations
@@ -37,28 +37,28 @@
 from ..messages import BatchRecord
 from ..platform import is_whole
 
-#: Kind of submissions, owners and ends.
+#: Kind of the objects for submissions, owners and ends.
 JOB_KIND: Final = "pistachioglade-jobs"
-#: Kind of batches of results.
+#: Kind of the objects for batches of results and parts of submissions.
 RESULT_KIND: Final = "pistachioglade-results"
-#: Kind of nodes' texts.
+#: Kind of the objects for nodes' saved texts.
 TEXT_KIND: Final = "pistachioglade-texts"
 _BATCH_DIGITS: Final = 6
 _DIGEST_DIGITS: Final = 16
-#: Bytes of an object that its names and frame may take.
-_FRAME_BYTES: Final = 1024
-#: Most times longer that ASCII text of JSON becomes as a JSON string: each quote and
-#: each backslash gets one more.
-_ESCAPED_TIMES: Final = 2
+#: Bytes of an object that are reserved for its names and its other fields.
+_RESERVED_BYTES: Final = 1024
+#: Largest factor by which ASCII text of JSON grows when encoded as a JSON string: each
+#: quote and each backslash is escaped with one more character.
+_MAX_ESCAPE_FACTOR: Final = 2
 
 
-def stored_bytes(text: str) -> int:
-    """Return the most that a text, encoded as JSON, takes inside an object."""
-    return _ESCAPED_TIMES * len(text)
+def max_stored_bytes(text: str) -> int:
+    """Return the most bytes that a JSON text takes as a string inside an object."""
+    return _MAX_ESCAPE_FACTOR * len(text)
 
 
 class RecordKind(Enum):
-    """What an object says of its job."""
+    """What an object records of its job."""
 
     SUBMISSION = ""
     OWNER = "owner"
@@ -68,13 +68,13 @@
 
 @attrs.frozen
 class RecordName:
-    """The name of an object, taken apart."""
+    """The parsed name of an object."""
 
-    # Job that it belongs to.
+    # Id of the job.
     job_id: str
-    # What it says.
+    # What the object records.
     kind: RecordKind
-    # Number of the batch; 0 for others.
+    # Number of the batch; 0 for other objects.
     batch: int = 0
 
     def __str__(self) -> str:
@@ -88,7 +88,7 @@
 
 
 def parse_name(name: str) -> RecordName | None:
-    """Return the parts of a name; None if it isn't one of ours."""
+    """Parse an object's name; return None if no job's object has such a name."""
     job_id, _, suffix = name.partition(".")
     if suffix in (kind.value for kind in (RecordKind.OWNER, RecordKind.END)):
         return RecordName(job_id, RecordKind(suffix))
@@ -103,74 +103,77 @@
 class Submission:
     """A job as it was accepted."""
 
-    # Entry that accepted it and runs it first: its name, an at sign, its address.
+    # Entry that accepted the job and runs it first: node name, at sign, address.
     owner: str
-    # Nonce of the process that accepted it.
+    # Nonce of the process that accepted the job.
     boot: str
-    # Host that it was submitted to.
+    # Host that the job was submitted to.
     host: str
-    # Path that it was submitted to.
+    # Path that the job was submitted to.
     path: str
-    # Time of day of its acceptance, in seconds since the epoch.
+    # Wall-clock time of the acceptance, in seconds since the epoch.
     accepted_s: float
-    # What the trainer sent, undecoded; empty while it stands in parts.
+    # Fields that the trainer sent, undecoded; empty while only the parts hold them.
     fields: Mapping[str, Any]
-    # Model of the job.
+    # Model that the job asks for.
     model: str = ""
-    # How many items it has.
+    # Number of items.
     total: int = 0
-    # Parts in which it stands; 0 if it is here.
+    # Number of parts that hold the trainer's fields; 0 if ``fields`` has them.
     part_count: int = 0
-    # Digest of the text that the parts make up.
+    # Digest of the joined text of the parts.
     digest: str = ""
-    # Number of the step that it is.
+    # Number of the trainer's step.
     step: int = 0
 
     @property
     def is_whole(self) -> bool:
-        """Whether what the trainer sent is here."""
+        """Whether ``fields`` has the trainer's fields."""
         return self.part_count == 0
 
 
 @attrs.frozen
 class SubmissionPart:
-    """A part of a submission as the store has it."""
+    """One stored part of a submission's fields."""
 
-    # Name of its object.
+    # Name of the part's object.
     name: str
-    # Its text.
+    # Text of the part.
     text: str
 
 
 def split_submission(
     job_id: str, submission: Submission, max_bytes: int
 ) -> tuple[Submission, tuple[SubmissionPart, ...]]:
-    """Return a submission's frame, and the parts that what was sent stands in.
+    """Split a submission into one without fields and the parts that hold the fields.
 
-    Part names hold the digest of the whole, so that parts of two submissions with one
-    id never mix.
+    Part names contain the digest of the joined text, so that parts of two submissions
+    with the same id never mix.
     """
     text = sent_text(submission)
     digest = hashlib.sha256(text.encode()).hexdigest()[:_DIGEST_DIGITS]
-    step = (max_bytes - _FRAME_BYTES) // _ESCAPED_TIMES
+    step = (max_bytes - _RESERVED_BYTES) // _MAX_ESCAPE_FACTOR
     parts = tuple(
         SubmissionPart(part_name(job_id, digest, number), text[start : start + step])
         for number, start in enumerate(range(0, len(text), step))
     )
-    kept = attrs.evolve(submission, fields={}, part_count=len(parts), digest=digest)
-    return kept, parts
+    stored = attrs.evolve(submission, fields={}, part_count=len(parts), digest=digest)
+    return stored, parts
 
 
 def sent_text(submission: Submission) -> str:
-    """Return the text that the parts of a whole submission make up."""
+    """Return the joined text of the parts of a complete submission."""
     return json.dumps(submission.fields)
 
 
-def rejoined(kept: Submission, submission: Submission) -> Submission:
-    """Return the stored submission with what was sent, if both are of the same."""
-    if kept.is_whole or kept.digest != submission.digest:
-        return kept
-    return attrs.evolve(kept, fields=submission.fields, part_count=0)
+def rejoined(stored: Submission, submission: Submission) -> Submission:
+    """Return the stored submission with the fields of one of the same digest.
+
+    The stored submission is returned unchanged if the digests differ.
+    """
+    if stored.is_whole or stored.digest != submission.digest:
+        return stored
+    return attrs.evolve(stored, fields=submission.fields, part_count=0)
 
 
 def part_name(job_id: str, digest: str, number: int) -> str:
@@ -179,14 +182,17 @@
 
 
 def joined_fields(submission: Submission, texts: Iterable[str]) -> dict[str, Any]:
-    """Return what the trainer sent; ValueError if the parts don't make it up."""
+    """Return the trainer's fields, joined from the texts of the parts.
+
+    Raises ValueError if the digest differs or the text is no JSON object.
+    """
     text = "".join(texts)
     digest = hashlib.sha256(text.encode()).hexdigest()[:_DIGEST_DIGITS]
     if digest != submission.digest:
-        raise ValueError(f"parts have digest {digest}, not {submission.digest}")
+        raise ValueError(f"parts have digest {digest}, expected {submission.digest}")
     fields = json.loads(text)
     if not isinstance(fields, dict):
-        raise ValueError("parts make up no object")
+        raise ValueError("parts don't join to a JSON object")
     return fields
 
 
@@ -196,20 +202,29 @@
 
 
 def decode_submission(value: Any) -> Submission | Refusal:
-    """Return the submission in an object's value, or why there is none."""
+    """Decode a submission from an object's value; return a refusal if invalid."""
     try:
-        read = Submission(**value)
+        submission = Submission(**value)
     except TypeError as error:
         return _unreadable("submission", error)
-    texts = (read.owner, read.boot, read.host, read.path, read.model, read.digest)
-    numbers = (read.total, read.part_count, read.step)
-    is_sound = (
+    texts = (
+        submission.owner,
+        submission.boot,
+        submission.host,
+        submission.path,
+        submission.model,
+        submission.digest,
+    )
+    numbers = (submission.total, submission.part_count, submission.step)
+    is_valid = (
         all(isinstance(text, str) for text in texts)
-        and isinstance(read.accepted_s, int | float)
+        and isinstance(submission.accepted_s, int | float)
         and all(map(is_whole, numbers))
-        and isinstance(read.fields, Mapping)
+        and isinstance(submission.fields, Mapping)
+    )
+    return (
+        submission if is_valid else _unreadable("submission", "a field of another type")
     )
-    return read if is_sound else _unreadable("submission", "a field of another type")
 
 
 def encode_batch(batch: BatchRecord) -> dict[str, Any]:
@@ -218,7 +233,7 @@
 
 
 def decode_batch(value: Any) -> BatchRecord | Refusal:
-    """Return the batch in an object's value, or why there is none."""
+    """Decode a batch from an object's value; return a refusal if invalid."""
     try:
         batch = BatchRecord(
             value["writer"],
@@ -236,18 +251,18 @@
 
 @attrs.frozen
 class OwnerChange:
-    """Who runs a job now."""
+    """The change of a job's owner."""
 
-    # The entry that runs it.
+    # Entry that runs the job now.
     owner: str
-    # The entry that ran it before.
+    # Entry that ran the job before.
     earlier: str
-    # Whether that one lived when the job passed on.
+    # Whether the earlier owner was alive at the change.
     is_alive: bool
 
 
 def decode_owner_change(value: Any) -> OwnerChange | Refusal:
-    """Return the change in an object's value, or why there is none."""
+    """Decode a change of owner from an object's value; return a refusal if invalid."""
     try:
         change = OwnerChange(value["owner"], value["earlier"], value["is_alive"])
     except (IndexError, KeyError, TypeError) as error:
@@ -261,5 +276,5 @@
 
 
 def _unreadable(what: str, why: object) -> Refusal:
-    """Return a refusal of bounded length, whatever an object holds."""
+    """Return a refusal with a reason of bounded length."""
     return refuse(ErrorKind.UNREADABLE, f"{what}: {why!s:.120}")
--- a/pistachioglade/jobs/_sample_scheduler.py
+++ b/pistachioglade/jobs/_sample_scheduler.py
@@ -1,4 +1,4 @@
-"""Which sample of this node's jobs starts where, and what becomes of it."""
+"""Assigns the samples of this node's jobs to instances and follows their tries."""
 
 from __future__ import annotations
 
@@ -24,41 +24,44 @@
 from ..logs import logger
 from ..metrics import Metrics
 from ..platform import signature
+from ._eligible_instances import EligibilityTable, EligibleInstances, Requirement
 from ._job_run import JobRun, Sample
-from ._places import Need, Places, PlaceTable
 from ._sample_try import SampleTry, TryEnd, TryResult
 
-#: Time between two looks at samples that wait or should move: two events.
-_LOOK_S: Final = 0.08
-#: Pause before a reward call is made again: the plain services' mean work.
-_REWARD_PAUSE_S: Final = 0.05
-#: Longest such pause: a plain service that refuses has turned over by then.
-_LONGEST_REWARD_PAUSE_S: Final = 0.4
+#: Time between two scheduling passes: two events of a text.
+_SCHEDULING_INTERVAL_S: Final = 0.08
+#: First pause before a reward call is repeated: a plain service's mean time per call.
+_MIN_REWARD_PAUSE_S: Final = 0.05
+#: Longest pause before a reward call is repeated: a plain service that refused calls
+#: has completed its running calls by then.
+_MAX_REWARD_PAUSE_S: Final = 0.4
 
 
-def _need(run: JobRun, sample: Sample) -> Need:
+def _requirement_of(run: JobRun, sample: Sample) -> Requirement:
     upstream = choose_upstream(run.route, sample.item.id)
-    return Need(upstream, run.job.model, run.job.min_version)
+    return Requirement(upstream, run.job.model, run.job.min_version)
 
 
-def _has_place(run: JobRun, table: PlaceTable) -> bool:
-    """Whether any sample of a run may start now."""
-    needs = (
-        Need(share.upstream, run.job.model, run.job.min_version)
+def _has_room(run: JobRun, table: EligibilityTable) -> bool:
+    """Return whether an instance has room for a sample of a run."""
+    requirements = (
+        Requirement(share.upstream, run.job.model, run.job.min_version)
         for share in run.route.shares
     )
-    return run.is_routed and any(table.of(need).with_room for need in needs)
+    return run.is_routed and any(
+        table.of(requirement).with_room for requirement in requirements
+    )
 
 
 def _quarantine_wait_s(answer: Response | Refusal) -> float:
-    """Return how long a quarantined reward call has to wait; 0 for any other."""
+    """Return how long a quarantined reward call has to wait; 0 for other answers."""
     if isinstance(answer, Refusal) and answer.kind is ErrorKind.QUARANTINED:
         return answer.retry_after_s or 0.0
     return 0.0
 
 
 class SampleScheduler:
-    """Places, moves and finishes the samples of all runs."""
+    """Starts, moves and finishes the samples of all runs of this node."""
 
     def __init__(
         self,
@@ -73,65 +76,69 @@
         ),
     ) -> None:
         self._policy = policy
-        # Returns the engines of an upstream that other homes prefer.
+        # Returns the engines of an upstream that other job owners prefer.
         self._engines_of_others = engines_of_others
-        # The same by upstream, as of the last look for places.
-        self._others: dict[str, frozenset[str]] = {}
+        # Engines that other job owners prefer, by upstream, as of the last scheduling
+        # pass.
+        self._engines_preferred_elsewhere: dict[str, frozenset[str]] = {}
         self._view = view
         self._forwarder = forwarder
         self._metrics = metrics
         self._runs = runs
-        # Whether samples that have begun elsewhere are about to come, and go first.
+        # Returns whether jobs are being taken over, so that new samples wait for
+        # samples that already have a text.
         self._is_catching_up = is_catching_up
         self._log = logger(__name__)
-        # Nothing starts before the jobs are known, nor once the process leaves.
+        # Whether samples may start: after all jobs are known, until the process stops.
         self.is_enabled = False
-        self._is_pump_due = False
-        view.on_change.append(self.pump_soon)
+        self._is_pass_scheduled = False
+        view.on_change.append(self.schedule_pass)
 
-    async def look_around(self) -> None:
-        """Start, move and give up samples, for good."""
+    async def run(self) -> None:
+        """Start, move and give up samples periodically, until cancelled."""
         while True:
-            await asyncio.sleep(_LOOK_S)
-            self._others = {
+            await asyncio.sleep(_SCHEDULING_INTERVAL_S)
+            self._engines_preferred_elsewhere = {
                 name: self._engines_of_others(name)
                 for name in {run.upstream for run in self._runs.values()}
             }
-            self.pump()
+            self.start_waiting_samples()
             self._move_slow()
-            self._give_up_old()
+            self._give_up_expired()
 
-    def pump_soon(self) -> None:
-        """Look for places once all that has just happened is known."""
-        if not self._is_pump_due:
-            self._is_pump_due = True
-            asyncio.get_running_loop().call_soon(self.pump)
+    def schedule_pass(self) -> None:
+        """Schedule one pass after the current callbacks, however often requested."""
+        if not self._is_pass_scheduled:
+            self._is_pass_scheduled = True
+            asyncio.get_running_loop().call_soon(self.start_waiting_samples)
 
-    def pump(self) -> None:
-        """Start every sample that finds an engine."""
-        self._is_pump_due = False
+    def start_waiting_samples(self) -> None:
+        """Start every waiting sample for which an engine is found."""
+        self._is_pass_scheduled = False
         if not self.is_enabled:
             return
-        table = PlaceTable(self._view, asyncio.get_running_loop().time())
-        only_begun = self._is_catching_up()
+        table = EligibilityTable(self._view, asyncio.get_running_loop().time())
+        excludes_new = self._is_catching_up()
         waiting = [
             sample
             for run in self._runs.values()
-            if _has_place(run, table)
+            if _has_room(run, table)
             for sample in run.pending()
-            if sample.is_begun or not only_begun
+            if sample.is_begun or not excludes_new
         ]
-        by_length = self._policy.uses(Mechanism.LONGEST_FIRST)
-        for pending in start_order(waiting, by_length):
+        longest_first = self._policy.uses(Mechanism.LONGEST_FIRST)
+        for pending in start_order(waiting, longest_first):
             run = self._runs[pending.job_id]
             sample = run.samples[pending.item_id]
-            handle = self._place(run, sample, table.of(_need(run, sample)))
+            handle = self._choose_instance(
+                run, sample, table.of(_requirement_of(run, sample))
+            )
             if handle is not None:
                 self._start(run, sample, handle)
-                table.placed(handle)
+                table.record_start(handle)
 
     def _start(self, run: JobRun, sample: Sample, handle: InstanceHandle) -> None:
-        """Start a sample; it counts at its engine before its task has run."""
+        """Start a sample and count it at its engine before its task runs."""
         record = handle.record
         sample.is_waiting = False
         sample.running_at = handle.id
@@ -139,75 +146,87 @@
         record.sent(run.job.model, asyncio.get_running_loop().time())
         task = run.spawn(self._run_sample(run, sample, handle))
 
-        def ended(task: asyncio.Task[None]) -> None:
+        def release_instance(task: asyncio.Task[None]) -> None:
             record.outstanding -= 1
             if not task.cancelled() and task.exception() is not None:
-                # The run has logged the fault; the sample starts elsewhere.
+                # The run has logged the error; the sample is started again.
                 sample.running, sample.running_at = None, None
                 sample.is_waiting = True
 
-        task.add_done_callback(ended)
+        task.add_done_callback(release_instance)
 
-    def _place(
-        self, run: JobRun, sample: Sample, places: Places
+    def _choose_instance(
+        self, run: JobRun, sample: Sample, eligible: EligibleInstances
     ) -> InstanceHandle | None:
-        if not places.with_room:
+        if not eligible.with_room:
             return None
-        has_homes = self._policy.uses(Mechanism.GROUP_HOMES)
-        by_pace = self._policy.uses(Mechanism.FAST_FOR_LONG)
+        keeps_groups_together = self._policy.uses(Mechanism.GROUP_HOMES)
+        weighs_remaining_events = self._policy.uses(Mechanism.FAST_FOR_LONG)
         chosen = choose_for_sample(
-            places.records(),
-            run.homes(sample.item.group) if has_homes else (),
-            sample.last_instance if len(places.fitting) > 1 else None,
+            eligible.records(),
+            run.engines_of_group(sample.item.group) if keeps_groups_together else (),
+            sample.last_instance if len(eligible.instances) > 1 else None,
             asyncio.get_running_loop().time(),
-            (self._remaining(run, sample) or 0) if by_pace else 0,
-            self._others.get(run.upstream, frozenset()),
+            (self._remaining_events(run, sample) or 0)
+            if weighs_remaining_events
+            else 0,
+            self._engines_preferred_elsewhere.get(run.upstream, frozenset()),
         )
-        return None if chosen is None else places.with_room[chosen]
+        return None if chosen is None else eligible.with_room[chosen]
 
     def _move_slow(self) -> None:
         if not self._policy.uses(Mechanism.MOVING):
             return
         now_s = asyncio.get_running_loop().time()
-        table = PlaceTable(self._view, now_s)
+        table = EligibilityTable(self._view, now_s)
         for run in self._runs.values():
             running = (item for item in run.samples.values() if item.running_at)
             for sample in running if run.is_routed else ():
                 if self._should_move(run, sample, table, now_s) and sample.running:
-                    sample.running.move()
+                    sample.running.interrupt()
 
     def _should_move(
-        self, run: JobRun, sample: Sample, table: PlaceTable, now_s: float
+        self, run: JobRun, sample: Sample, table: EligibilityTable, now_s: float
     ) -> bool:
-        at = sample.running_at
-        record = self._view.records.get(at or "")
-        if at is None or record is None or not self._view.may_send_to(at):
+        instance_id = sample.running_at
+        record = self._view.records.get(instance_id or "")
+        if (
+            instance_id is None
+            or record is None
+            or not self._view.may_send_to(instance_id)
+        ):
             return False
-        places = table.of(_need(run, sample))
-        if at in places.fitting and not is_slow(record, places.usual_s, now_s):
+        eligible = table.of(_requirement_of(run, sample))
+        if instance_id in eligible.instances and not is_slow(
+            record, eligible.usual_event_gap_s, now_s
+        ):
             return False
-        peers = [item.record for item in places.fitting.values() if item.id != at]
-        return should_move(record, peers, self._remaining(run, sample), now_s)
+        peers = [
+            item.record
+            for item in eligible.instances.values()
+            if item.id != instance_id
+        ]
+        return should_move(record, peers, self._remaining_events(run, sample), now_s)
 
-    def _remaining(self, run: JobRun, sample: Sample) -> int | None:
+    def _remaining_events(self, run: JobRun, sample: Sample) -> int | None:
         expected = sample.item.expected_tokens
         if expected is None:
             return None
-        # The estimate is right at the median only: what is past it may go on.
-        left = expected // self._event_tokens(run) - len(sample.text.parts)
-        return left if left > 0 else None
+        # The estimate is a median: a sample that exceeds it has no known remainder.
+        remaining = expected // self._event_tokens(run) - len(sample.text.parts)
+        return remaining if remaining > 0 else None
 
-    def _most_events(self, run: JobRun, sample: Sample) -> int | None:
+    def _max_events(self, run: JobRun, sample: Sample) -> int | None:
         most_tokens = sample.item.most_tokens
         return None if most_tokens is None else most_tokens // self._event_tokens(run)
 
     def _event_tokens(self, run: JobRun) -> int:
-        """Return the tokens in one event of a job's upstream."""
+        """Return the number of tokens in one event of a run's upstream."""
         configuration = self._view.configuration
         upstream = configuration and configuration.upstreams.get(run.upstream)
         return upstream.event_tokens if upstream else 1
 
-    def _give_up_old(self) -> None:
+    def _give_up_expired(self) -> None:
         now_s = asyncio.get_running_loop().time()
         for run in self._runs.values():
             reason = "retention is over" if now_s > run.give_up_s else ""
@@ -217,15 +236,13 @@
                 sample.is_waiting = False
                 run.give_up(sample, reason)
 
-    # What becomes of a sample.
-
     async def _run_sample(
         self, run: JobRun, sample: Sample, handle: InstanceHandle
     ) -> None:
         text = sample.text
         if any(version < run.job.min_version for version in text.versions):
             text.clear()
-        one_try = SampleTry(
+        sample_try = SampleTry(
             self._view,
             handle,
             sample.item,
@@ -233,18 +250,18 @@
             run.job.min_version,
             run.job.model,
             run.route.is_single_version,
-            self._most_events(run, sample),
-            self.pump_soon,
+            self._max_events(run, sample),
+            self.schedule_pass,
         )
-        sample.running = one_try
+        sample.running = sample_try
         begun_s = asyncio.get_running_loop().time()
         resumed_after = text.last_event
-        result = await one_try.run(run.job.host, run.give_up_s - begun_s)
+        result = await sample_try.run(run.job.host, run.give_up_s - begun_s)
         sample.last_instance = handle.id if result.end is not TryEnd.COMPLETE else None
         self._log_try(run, sample, handle.id, result, resumed_after, begun_s)
-        if run.took_try(sample, result):
+        if run.record_try(sample, result):
             run.spawn(self._finish(run, sample))
-        self.pump_soon()
+        self.schedule_pass()
 
     def _log_try(
         self,
@@ -282,18 +299,18 @@
         run.finish(sample, sample.result(score))
 
     async def _score(self, run: JobRun, sample: Sample) -> str | None:
-        """Return the score; None if the item was given up."""
+        """Return the sample's score; None if the item was given up."""
         reward = sample.item.reward
         assert reward is not None
         loop = asyncio.get_running_loop()
         failures = 0
-        pause_s = _REWARD_PAUSE_S
+        pause_s = _MIN_REWARD_PAUSE_S
         while True:
-            scored, most_failures = await self._ask_for_score(reward, failures)
+            scored, max_failures = await self._call_reward(reward, failures)
             if isinstance(scored.answer, Response) and scored.answer.status < 300:
                 return signature(scored.answer)
             failures += scored.failures
-            if failures >= most_failures:
+            if failures >= max_failures:
                 run.give_up(sample, f"its reward call failed {failures} times")
                 return None
             if loop.time() > run.give_up_s:
@@ -301,15 +318,16 @@
                 return None
             wait_s = max(pause_s, _quarantine_wait_s(scored.answer))
             await asyncio.sleep(min(wait_s, max(pause_s, run.give_up_s - loop.time())))
-            pause_s = min(2.0 * pause_s, _LONGEST_REWARD_PAUSE_S)
+            pause_s = min(2.0 * pause_s, _MAX_REWARD_PAUSE_S)
 
-    async def _ask_for_score(
+    async def _call_reward(
         self, reward: RewardCall, failures: int
     ) -> tuple[ForwardedAnswer, int]:
-        """Make a reward call; return what came of it and how many failures end it.
+        """Make a reward call; return its answer and how many failures end the item.
 
-        Each 500 counts, also of tries within one call: one of a hundred calls fails
-        always, and its group is whole with its end.
+        Each answer of 500 counts, also those of tries within one call: about one call
+        in a hundred always fails, and its group can only be complete once the item
+        ends.
         """
         configuration = self._view.configuration
         route = configuration and find_route(configuration, reward.host, reward.path)
@@ -324,5 +342,5 @@
             asyncio.get_running_loop().time(),
         )
         call = self._forwarder.call_for(request, reward.id, route)
-        left = attrs.evolve(call, most_failures=route.max_attempts - failures)
-        return await self._forwarder.forward_counted(left), route.max_attempts
+        limited_call = attrs.evolve(call, most_failures=route.max_attempts - failures)
+        return await self._forwarder.forward_counted(limited_call), route.max_attempts
--- a/pistachioglade/jobs/_sample_try.py
+++ b/pistachioglade/jobs/_sample_try.py
@@ -1,4 +1,4 @@
-"""One try of a sample at one engine: its events, told apart from everything else."""
+"""One try of a sample at one engine: request, checks of the answer, events."""
 
 from __future__ import annotations
 
@@ -28,43 +28,44 @@
     weight_version,
 )
 
-#: Time without an event after which a stream is taken up elsewhere: longer than a load
-#: of weights while many load.
-SILENCE_S: Final = 2.5
-#: Time for the head of an answer: the engine's queue and the same halt.
-_HEAD_S: Final = 3.0
+#: Time without an event after which the stream counts as broken and the sample
+#: continues at another engine: longer than a load of weights takes while many engines
+#: load.
+_EVENT_TIMEOUT_S: Final = 2.5
+#: Time for the head of an answer: the wait in the engine's queue and a load of weights.
+_HEAD_TIMEOUT_S: Final = 3.0
 
 
 class TryEnd(Enum):
     """How a try ended."""
 
-    # The text is whole.
+    # The text is complete.
     COMPLETE = "complete"
-    # The engine refused it.
+    # The engine refused the sample without running it.
     NOT_RUN = "not-run"
     # There was no connection to the engine.
     UNREACHED = "unreached"
-    # The stream broke; what came of it is kept.
+    # The stream broke, or the answer was not usable; the text so far is kept.
     BROKEN = "broken"
-    # The engine failed it, after running it.
+    # The engine ran the sample and answered 500.
     FAILED = "failed"
-    # It can never be done.
+    # The engine answered that the request can never succeed.
     IMPOSSIBLE = "impossible"
     # The engine's weights are older than the job allows.
     TOO_OLD = "too-old"
-    # Another weight version came, where a text must have just one.
+    # An event of a second weight version came for a text that may have only one.
     MIXED_VERSIONS = "mixed-versions"
-    # It was taken off the engine on purpose.
+    # The sample was taken off the engine on purpose.
     MOVED = "moved"
 
 
 @attrs.frozen
 class TryResult:
-    """The end of a try and what it was due to."""
+    """How a try ended and why."""
 
-    # How it ended.
+    # How the try ended.
     end: TryEnd
-    # Why, for a person to read.
+    # Why the try ended, for logs.
     reason: str = ""
     # Whether the engine's connection was lost before any event of the try.
     is_crash: bool = False
@@ -72,31 +73,32 @@
 
 @attrs.define
 class SampleText:
-    """What has been made of a sample."""
+    """The text that engines have generated for a sample so far."""
 
-    # Data of its events in order.
+    # Data of each event, in order.
     parts: list[str] = attrs.field(factory=list)
     # Number of the last event; None before the first.
     last_event: int | None = None
-    # Weight versions that made an event of it.
+    # Weight versions that generated the events.
     versions: set[int] = attrs.field(factory=set)
 
     def clear(self) -> None:
-        """Forget the text, to start anew."""
+        """Discard the text, so that the sample starts over."""
         self.parts.clear()
         self.last_event = None
         self.versions.clear()
 
     @property
-    def whole(self) -> str:
-        """The data of all events, separated by line feeds."""
+    def joined(self) -> str:
+        """Data of all events, separated by line feeds."""
         return "\n".join(self.parts)
 
 
 class SampleTry:
-    """Runs an item at one engine and adds to its text.
+    """Runs an item at one engine and appends the events to the item's text.
 
-    Whoever starts it counts it as outstanding at the engine, from its placement on.
+    The caller counts the sample as outstanding at the engine, from the choice of the
+    engine on.
     """
 
     def __init__(
@@ -108,14 +110,14 @@
         min_version: int,
         model: str,
         is_single_version: bool,
-        most_events: int | None = None,
+        max_events: int | None = None,
         on_first_answer: Callable[[], None] | None = None,
     ) -> None:
-        # Called when an instance answers that hadn't yet: there is room for more.
+        # Called at the first answer of an instance, which then takes more samples.
         self._on_first_answer = on_first_answer
         self._is_single_version = is_single_version
-        # Events at which the text ends at the latest; None if the caller doesn't say.
-        self._most_events = most_events
+        # Most events that the text may have; None if the caller sets no limit.
+        self._max_events = max_events
         self._view = view
         self._handle = handle
         self._record = handle.record
@@ -124,27 +126,27 @@
         self._min_version = min_version
         self._model = model
         self._version: int | None = None
-        self._event_s: float | None = None
-        # Set to take the sample off this engine.
-        self.is_unwanted = False
+        self._last_event_s: float | None = None
+        # Whether the sample is being taken off this engine.
+        self.is_interrupted = False
         self._exchange: Exchange | None = None
 
     async def run(self, host: str, time_left_s: float) -> TryResult:
-        """Run to the end of the stream, or to what ends it sooner."""
+        """Run until the stream ends or fails."""
         if not self._view.may_send_to(self._handle.id):
-            # It left the list between the choice and this task's first step.
+            # The instance left the list after the choice, before this task first ran.
             return TryResult(TryEnd.NOT_RUN, "not listed any more")
         connection: ClientConnection | Refusal | None = None
         pool = self._handle.pool
         try:
             connection = await pool.acquire()
             if isinstance(connection, Refusal):
-                return self._fault(TryResult(TryEnd.UNREACHED, connection.reason))
+                return self._record_end(TryResult(TryEnd.UNREACHED, connection.reason))
             self._exchange = self._send(connection, host, time_left_s)
             result = await self._receive(self._exchange)
             if result.end is not TryEnd.COMPLETE:
                 self._exchange.abort()
-            return self._fault(result)
+            return self._record_end(result)
         except BaseException:
             if isinstance(connection, ClientConnection):
                 connection.close()
@@ -155,20 +157,20 @@
 
     @property
     def time_left_s(self) -> float:
-        """Time until the text has the most events that it may have."""
+        """Time until the text has the most events allowed; infinity if unknown."""
         gap_s = self._record.event_gap_s
-        if self._most_events is None or gap_s is None or not self._text.parts:
+        if self._max_events is None or gap_s is None or not self._text.parts:
             return float("inf")
-        return (self._most_events - len(self._text.parts)) * gap_s
+        return (self._max_events - len(self._text.parts)) * gap_s
 
-    def move(self) -> None:
-        """Take the sample off this engine; its text is kept."""
-        self.is_unwanted = True
+    def interrupt(self) -> None:
+        """End the try so that the sample can move; its text is kept."""
+        self.is_interrupted = True
         if self._exchange is not None:
             self._exchange.abort()
 
-    def _fault(self, result: TryResult) -> TryResult:
-        if self.is_unwanted and result.end is TryEnd.BROKEN:
+    def _record_end(self, result: TryResult) -> TryResult:
+        if self.is_interrupted and result.end is TryEnd.BROKEN:
             return TryResult(TryEnd.MOVED, result.reason)
         now_s = asyncio.get_running_loop().time()
         if result.end in (TryEnd.BROKEN, TryEnd.UNREACHED):
@@ -182,44 +184,44 @@
         self, connection: ClientConnection, host: str, time_left_s: float
     ) -> Exchange:
         item = self._item
-        last = self._text.last_event
-        resumed = () if last is None else resume_fields(last)
+        last_event = self._text.last_event
+        resumed = () if last_event is None else resume_fields(last_event)
         fields = (("Host", host), *item.fields, *resumed)
-        sent = request_fields(fields, self._handle.id, time_left_s, item.id)
-        return connection.start("POST", item.path, sent, item.body)
+        request_head = request_fields(fields, self._handle.id, time_left_s, item.id)
+        return connection.start("POST", item.path, request_head, item.body)
 
     async def _receive(self, exchange: Exchange) -> TryResult:
         try:
-            async with asyncio.timeout(_HEAD_S):
+            async with asyncio.timeout(_HEAD_TIMEOUT_S):
                 head = await exchange.head()
         except TimeoutError:
-            return TryResult(TryEnd.BROKEN, f"no head in {_HEAD_S} s")
+            return TryResult(TryEnd.BROKEN, f"no head in {_HEAD_TIMEOUT_S} s")
         if isinstance(head, Refusal):
             return self._broken_result(head)
-        self._note_load(head)
-        judged = self._judge(head)
-        return judged or await self._read_events(exchange)
+        self._record_load(head)
+        failure = self._check_head(head)
+        return failure or await self._read_events(exchange)
 
     def _broken_result(self, refusal: Refusal) -> TryResult:
         is_lost = refusal.kind is ErrorKind.CONNECTION_LOST
         return TryResult(
-            TryEnd.BROKEN, refusal.reason, is_lost and self._event_s is None
+            TryEnd.BROKEN, refusal.reason, is_lost and self._last_event_s is None
         )
 
-    def _note_answer(self) -> None:
-        was_known = self._record.has_answered
+    def _record_answer(self) -> None:
+        had_answered = self._record.has_answered
         self._record.loaded(self._model)
         self._view.note_present(self._handle)
-        if not was_known and self._on_first_answer is not None:
+        if not had_answered and self._on_first_answer is not None:
             self._on_first_answer()
 
-    def _note_load(self, head: ResponseHead) -> None:
+    def _record_load(self, head: ResponseHead) -> None:
         load = instance_load(head)
         if load is not None:
             now_s = asyncio.get_running_loop().time()
             self._record.told_load(load.running, load.waiting, now_s)
 
-    def _judge(self, head: ResponseHead) -> TryResult | None:
+    def _check_head(self, head: ResponseHead) -> TryResult | None:
         if not belongs_to(head, self._item.id):
             return TryResult(TryEnd.BROKEN, "an answer to another request")
         if did_not_run(head):
@@ -232,7 +234,7 @@
             return TryResult(TryEnd.FAILED, "500")
         if head.status != 200:
             return TryResult(TryEnd.BROKEN, f"answered {head.status}")
-        self._note_answer()
+        self._record_answer()
         self._version = weight_version(head)
         if self._version is not None:
             self._record.versions[self._model] = self._version
@@ -244,30 +246,30 @@
         decoder = EventDecoder()
         while True:
             try:
-                async with asyncio.timeout(SILENCE_S):
+                async with asyncio.timeout(_EVENT_TIMEOUT_S):
                     chunk = await exchange.read()
             except TimeoutError:
-                return TryResult(TryEnd.BROKEN, f"no event in {SILENCE_S} s")
+                return TryResult(TryEnd.BROKEN, f"no event in {_EVENT_TIMEOUT_S} s")
             if isinstance(chunk, Refusal):
                 return self._broken_result(chunk)
             if chunk is None:
-                return self._ended(exchange, decoder)
+                return self._check_end(exchange, decoder)
             events = decoder.feed(chunk)
             if events is None:
                 return TryResult(TryEnd.BROKEN, "bytes that are no events")
             for event in events:
-                fault = self._add(event)
-                if fault is not None:
-                    return fault
+                failure = self._add_event(event)
+                if failure is not None:
+                    return failure
 
-    def _ended(self, exchange: Exchange, decoder: EventDecoder) -> TryResult:
+    def _check_end(self, exchange: Exchange, decoder: EventDecoder) -> TryResult:
         if not exchange.is_framed or not decoder.is_between_events:
             return TryResult(TryEnd.BROKEN, "the stream's end can't be trusted")
         if self._text.last_event is None:
             return TryResult(TryEnd.BROKEN, "a stream without events")
         return TryResult(TryEnd.COMPLETE)
 
-    def _add(self, event: StreamEvent) -> TryResult | None:
+    def _add_event(self, event: StreamEvent) -> TryResult | None:
         text = self._text
         if text.last_event is not None and event.number != text.last_event + 1:
             reason = f"event {event.number} after {text.last_event}"
@@ -277,19 +279,19 @@
             self._record.versions[self._model] = event.version
         if self._version is not None and self._version < self._min_version:
             return TryResult(TryEnd.TOO_OLD, f"version {self._version}")
-        is_other = bool(text.versions) and self._version not in text.versions
-        if self._is_single_version and is_other:
+        is_another_version = bool(text.versions) and self._version not in text.versions
+        if self._is_single_version and is_another_version:
             text.clear()
             return TryResult(TryEnd.MIXED_VERSIONS, f"version {self._version}")
-        self._pace(event)
+        self._record_event_gap(event)
         text.parts.append(event.data)
         text.last_event = event.number
         if self._version is not None:
             text.versions.add(self._version)
         return None
 
-    def _pace(self, event: StreamEvent) -> None:
+    def _record_event_gap(self, event: StreamEvent) -> None:
         now_s = asyncio.get_running_loop().time()
-        if self._event_s is not None:
-            self._record.paced(now_s - self._event_s, now_s)
-        self._event_s = now_s
+        if self._last_event_s is not None:
+            self._record.paced(now_s - self._last_event_s, now_s)
+        self._last_event_s = now_s
--- a/pistachioglade/jobs/_text_saver.py
+++ b/pistachioglade/jobs/_text_saver.py
@@ -1,7 +1,7 @@
-"""Saves the texts of unlisted samples to the store, so that a death costs little.
+"""Saves texts of unfinished samples to the store, for a restart or a takeover.
 
-All jobs of a node stand in one object, since each call to the store is paid for. Losing
-any state of it costs only time.
+The texts of all jobs of a node are in one object, since each call to the store is
+charged. Losing any state of the object costs only time.
 """
 
 from __future__ import annotations
@@ -25,27 +25,28 @@
 from ..store import StoreClient
 from ._records import TEXT_KIND
 
-#: Time within which the first save of a node is settled.
-_CREATE_WITHIN_S: Final = 1.0
-#: Pause before the next look, while jobs begin and may still read the last save: they
-#: take tenths of a second, and texts that are due must not wait for a whole turn more.
-_BEGINNING_PAUSE_S: Final = 0.05
+#: Time limit for the creation of a node's object.
+_CREATE_LIMIT_S: Final = 1.0
+#: Time between checks whether a save can go on, while jobs start and may still read the
+#: last save: starts take tenths of a second, and texts that are due must not wait for
+#: another save interval.
+_START_POLL_S: Final = 0.05
 
 
 def text_bytes(record: TextRecord) -> int:
-    """Return what a text takes inside an object.
+    """Return the bytes that a text takes inside an object.
 
-    Encoded, since by its length alone it may take six times that, and what is set
-    aside for the worst case is missing for other texts.
+    The text is encoded for this: a character may take six bytes, and a reserve for that
+    worst case would leave less room for other texts.
     """
     return len(json.dumps(record.parts))
 
 
-def worth_saving(
-    made: Mapping[str, SampleTexts], max_bytes: int
+def choose_texts(
+    texts_by_job: Mapping[str, SampleTexts], max_bytes: int
 ) -> dict[str, SampleTexts]:
-    """Return each job's longest texts, as many as one object holds."""
-    longest = sorted(_candidates(made), key=lambda pair: -len(pair[1].parts))
+    """Return the longest texts of all jobs, as many as one object holds, by job."""
+    longest = sorted(_candidates(texts_by_job), key=lambda pair: -len(pair[1].parts))
     sizes = (text_bytes(record) for _, record in longest)
     kept = longest[: fitting_count(sizes, max_bytes)]
     return {
@@ -54,32 +55,34 @@
     }
 
 
-def _candidates(made: Mapping[str, SampleTexts]) -> list[tuple[str, TextRecord]]:
-    """Return the texts that are long enough to be saved, with their jobs."""
+def _candidates(
+    texts_by_job: Mapping[str, SampleTexts],
+) -> list[tuple[str, TextRecord]]:
+    """Return the texts that are long enough to be saved, with their job ids."""
     return [
         (job_id, record)
-        for job_id, texts in made.items()
+        for job_id, texts in texts_by_job.items()
         for record in texts.texts
         if len(record.parts) >= LEAST_SAVED_EVENTS
     ]
 
 
-def longest_texts(made: Iterable[SampleTexts]) -> SampleTexts:
-    """Return one text for each sample: the scored one, or else the longest."""
+def longest_texts(sources: Iterable[SampleTexts]) -> SampleTexts:
+    """Return one text for each sample: a scored text, or else the longest."""
     best: dict[str, TextRecord] = {}
-    for record in chain.from_iterable(texts.texts for texts in made):
+    for record in chain.from_iterable(texts.texts for texts in sources):
         known = best.get(record.item_id)
-        if known is None or _progress(known) < _progress(record):
+        if known is None or _progress_of(known) < _progress_of(record):
             best[record.item_id] = record
     return SampleTexts(tuple(best.values()))
 
 
-def _progress(record: TextRecord) -> tuple[bool, int]:
+def _progress_of(record: TextRecord) -> tuple[bool, int]:
     return record.score is not None, record.last_event
 
 
 class TextSaver:
-    """Keeps one node's object of texts."""
+    """Writes one node's object of texts."""
 
     def __init__(
         self,
@@ -89,35 +92,39 @@
     ) -> None:
         self._store = store
         self._node = node
-        # Texts by job; None while jobs that begin may still read the last save.
+        # Returns the texts by job id; None while starting jobs may read the last save.
         self._texts = texts
         self._log = logger(__name__)
         self._is_created = False
-        # Events of each saved text, by job and item.
+        # Number of events of each saved text, by job id and item id.
         self._saved_events: dict[tuple[str, str], int] = {}
         self._saved_bytes = 0
 
     async def run(self) -> None:
-        """Save now and then, for good."""
+        """Save texts periodically, until cancelled."""
         while True:
             await asyncio.sleep(save_interval_s(self._saved_bytes))
-            while (made := self._texts()) is None:
-                await asyncio.sleep(_BEGINNING_PAUSE_S)
-            kept = worth_saving(made, self._store.max_object_bytes)
-            await self._save(kept, len(_candidates(made)))
-
-    async def _save(self, made: Mapping[str, SampleTexts], candidates: int) -> None:
-        """Save texts, which were chosen from so many that are worth it."""
-        records = [record for texts in made.values() for record in texts.texts]
+            while (texts_by_job := self._texts()) is None:
+                await asyncio.sleep(_START_POLL_S)
+            kept = choose_texts(texts_by_job, self._store.max_object_bytes)
+            await self._save(kept, len(_candidates(texts_by_job)))
+
+    async def _save(
+        self, texts_by_job: Mapping[str, SampleTexts], candidates: int
+    ) -> None:
+        """Save texts that were chosen from a number of candidates, if they changed."""
+        records = [record for texts in texts_by_job.values() for record in texts.texts]
         events = {
             (job_id, record.item_id): len(record.parts)
-            for job_id, texts in made.items()
+            for job_id, texts in texts_by_job.items()
             for record in texts.texts
         }
         if not should_save(self._saved_events, events):
             return
         started_s = asyncio.get_running_loop().time()
-        stored = await self._write({job: unstructure(made[job]) for job in made})
+        stored = await self._write(
+            {job: unstructure(texts_by_job[job]) for job in texts_by_job}
+        )
         if isinstance(stored, Refusal):
             self._log.warning("texts-unsaved", reason=stored.reason)
             return
@@ -125,7 +132,7 @@
         self._saved_bytes = sum(map(text_bytes, records))
         self._log.info(
             "texts-saved",
-            jobs=len(made),
+            jobs=len(texts_by_job),
             texts=len(records),
             left_out=candidates - len(records),
             bytes=self._saved_bytes,
@@ -136,15 +143,17 @@
 
     async def _write(self, value: dict[str, Any]) -> Entry | Refusal:
         if not self._is_created:
-            made = await self._store.create(TEXT_KIND, self._node, {}, _CREATE_WITHIN_S)
-            if isinstance(made, Refusal):
-                return made
+            created = await self._store.create(
+                TEXT_KIND, self._node, {}, _CREATE_LIMIT_S
+            )
+            if isinstance(created, Refusal):
+                return created
             self._is_created = True
         return await self._store.replace(TEXT_KIND, self._node, value, None)
 
 
-async def saved_texts(store: StoreClient, node: str, job_id: str) -> SampleTexts:
-    """Return the texts of a job that a node has saved last; nothing if none."""
+async def read_saved_texts(store: StoreClient, node: str, job_id: str) -> SampleTexts:
+    """Read the texts of a job that a node saved last; none if unreadable."""
     stored = await store.read(TEXT_KIND, node)
     if isinstance(stored, Refusal) or not isinstance(stored.value, Mapping):
         return SampleTexts(())
@@ -153,7 +162,7 @@
     try:
         return structure(stored.value[job_id], SampleTexts)
     except Exception as error:  # cattrs groups errors of any type
-        # Texts only save work: the samples are made anew.
+        # Saved texts only save work: without them, samples are generated again.
         reason = f"{type(error).__name__} {error!s:.120}"
         logger(__name__).error("texts-unreadable", holder=node, reason=reason)
         return SampleTexts(())
--- a/pistachioglade/jobs/tests/test_failing_work.py
+++ b/pistachioglade/jobs/tests/test_failing_work.py
@@ -45,7 +45,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def case(scene: Scene) -> None:
-        failed = _fails_once(monkeypatch, JobOwner, "_complete")
+        failed = _fails_once(monkeypatch, JobOwner, "_read_submission")
         _submit(scene, "second")
         await eventually(lambda: "second" in scene.owner.runs)
         assert failed
--- a/pistachioglade/jobs/tests/test_passing_on.py
+++ b/pistachioglade/jobs/tests/test_passing_on.py
@@ -153,7 +153,7 @@
         # One that hasn't would get a single sample, whatever is catching up.
         view.records["one"].answered()
         scheduler.is_enabled = True
-        scheduler.pump()
+        scheduler.start_waiting_samples()
         running = {
             name
             for name, sample in runs["job"].samples.items()
--- a/pistachioglade/jobs/tests/test_replaced_instances.py
+++ b/pistachioglade/jobs/tests/test_replaced_instances.py
@@ -53,7 +53,7 @@
         outdated: list[None] = []
         view.on_outdated.append(lambda: outdated.append(None))
         scheduler.is_enabled = True
-        looking = asyncio.create_task(scheduler.look_around())
+        looking = asyncio.create_task(scheduler.run())
         try:
             await case(_Scene(view, runs["job"], found, outdated))
         finally:
--- a/pistachioglade/jobs/tests/test_scheduler.py
+++ b/pistachioglade/jobs/tests/test_scheduler.py
@@ -74,7 +74,7 @@
         view.take_instance(_entry("gone"), False)
         view.records["gone"].answered()
         scheduler.is_enabled = True
-        scheduler.pump()
+        scheduler.start_waiting_samples()
         samples = list(runs["job"].samples.values())
         assert [sample.running_at for sample in samples] == ["gone", "gone"]
         view.take_instance(_entry("gone"), True)
@@ -99,7 +99,7 @@
             # One that hasn't would get a single sample, whatever is counted.
             view.records[name].answered()
         scheduler.is_enabled = True
-        scheduler.pump()
+        scheduler.start_waiting_samples()
         placed = [sample.running_at for sample in runs["job"].samples.values()]
         assert sorted(filter(None, placed)) == sorted(["one", "two", "three"] * 2)
         assert placed.count(None) == 1
@@ -129,7 +129,7 @@
 
         view.open_handles = count  # type: ignore[method-assign]
         scheduler.is_enabled = True
-        scheduler.pump()
+        scheduler.start_waiting_samples()
         assert asked == 1
         assert all(sample.is_waiting for sample in runs["job"].samples.values())
 
@@ -141,14 +141,14 @@
         view = FleetView(lambda: None)
         scheduler = SampleScheduler(view, Forwarder(view, "a"), Metrics(), {})
         looks = 0
-        pump = scheduler.pump
+        start_waiting_samples = scheduler.start_waiting_samples
 
         def count() -> None:
             nonlocal looks
             looks += 1
-            pump()
+            start_waiting_samples()
 
-        scheduler.pump = count  # type: ignore[method-assign]
+        scheduler.start_waiting_samples = count  # type: ignore[method-assign]
         for number in range(40):
             view.take_instance(_entry(f"engine-{number}"), False)
         await asyncio.sleep(0.01)
--- a/pistachioglade/jobs/tests/test_takeover.py
+++ b/pistachioglade/jobs/tests/test_takeover.py
@@ -21,8 +21,8 @@
     encode_batch,
     encode_submission,
 )
+from .._carried_texts import CarriedTexts
 from .._job_run import JobRun
-from .._left_over import LeftOverTexts
 from .._records import TEXT_KIND
 from .._text_saver import longest_texts
 
@@ -108,7 +108,7 @@
             first.finish(sample, sample.result("score"))
             made = first.texts()
             second = _run_of(ledger, client, "new")
-            second.take_texts(made)
+            second.adopt_texts(made)
             assert set(second.samples) == {"i1"}
             second.start()
             state = ledger.jobs["job"]
@@ -123,10 +123,10 @@
 
 
 def test_texts_of_an_ended_job_are_scored_anew() -> None:
-    left_over = LeftOverTexts()
+    carried = CarriedTexts()
     record = TextRecord("i0", ("a",), 0, (3,), 0, "score")
-    left_over.keep(SampleTexts((record,)))
-    assert left_over.take(["i0"]).texts[0].score is None
+    carried.add_texts(SampleTexts((record,)))
+    assert carried.pop_texts(["i0"]).texts[0].score is None
 
 
 def _owner_of(client: StoreClient) -> tuple[JobLedger, JobOwner]:
--- a/pistachioglade/jobs/tests/test_text_saver.py
+++ b/pistachioglade/jobs/tests/test_text_saver.py
@@ -16,7 +16,7 @@
 from ...store.tests.served import eventually, run, served_store
 from .. import _text_saver
 from .._records import TEXT_KIND
-from .._text_saver import TextSaver, saved_texts, worth_saving
+from .._text_saver import TextSaver, choose_texts, read_saved_texts
 
 
 def _text(item: str, events: int) -> TextRecord:
@@ -29,12 +29,12 @@
         "b": SampleTexts((_text("b1", 120),)),
         "c": SampleTexts((_text("c1", 2),)),
     }
-    kept = worth_saving(made, 10**6)
+    kept = choose_texts(made, 10**6)
     assert [item.item_id for item in kept["a"].texts] == ["a2", "a1"]
     assert [item.item_id for item in kept["b"].texts] == ["b1"]
     assert "c" not in kept
     # 200 events of 100 bytes take 20.8 kB, 120 of them 12.5 kB, 30 of them 3.1 kB.
-    fewer = worth_saving(made, 36_000)
+    fewer = choose_texts(made, 36_000)
     assert {job: len(texts.texts) for job, texts in fewer.items()} == {"a": 1, "b": 1}
 
 
@@ -53,7 +53,7 @@
         for number, (part, events) in enumerate(drawn)
     )
     most = 20_000
-    kept = worth_saving({"a": SampleTexts(records)}, most)
+    kept = choose_texts({"a": SampleTexts(records)}, most)
     value = {job: unstructure(texts) for job, texts in kept.items()}
     one_too_large = len(kept.get("a", SampleTexts(())).texts) == 1
     assert one_too_large or len(json.dumps(value)) <= most
@@ -74,10 +74,10 @@
             await eventually(lambda: bool(_value(store, key)))
             made["b"] = SampleTexts((_text("b1", 60),))
             await eventually(lambda: "b" in _value(store, key))
-            assert await saved_texts(client, "node", "a") == made["a"]
-            assert await saved_texts(client, "node", "b") == made["b"]
-            assert (await saved_texts(client, "node", "c")).texts == ()
-            assert (await saved_texts(client, "other", "a")).texts == ()
+            assert await read_saved_texts(client, "node", "a") == made["a"]
+            assert await read_saved_texts(client, "node", "b") == made["b"]
+            assert (await read_saved_texts(client, "node", "c")).texts == ()
+            assert (await read_saved_texts(client, "other", "a")).texts == ()
             task.cancel()
 
     def _value(store: object, key: tuple[str, str]) -> dict[str, object]:
@@ -112,7 +112,7 @@
             # Both grow; the shorter one no longer fits, and the sum is what it was.
             made["a"] = SampleTexts((_text("a1", 72), _text("a2", 64)))
             await is_saved(_text("a1", 72))
-            assert await saved_texts(client, "node", "a") == SampleTexts(
+            assert await read_saved_texts(client, "node", "a") == SampleTexts(
                 (_text("a1", 72),)
             )
             task.cancel()
@@ -152,7 +152,7 @@
                 pytest.raises(RuntimeError),
             ):
                 await saver.run()
-            assert len((await saved_texts(client, "node", "a")).texts) == 1
+            assert len((await read_saved_texts(client, "node", "a")).texts) == 1
 
     run(work)
     # The turn, two looks while the job begins, and the turn behind the save.
