--- a/pistachioglade/jobs/_owner.py
+++ b/pistachioglade/jobs/_owner.py
@@ -177,8 +177,7 @@
                     self._store, node_of(state.owner), state.id
                 )
                 await run.fence_earlier_writers()
-                # The earlier owner's samples run until it is asked, so that it is asked
-                # last.
+                # The earlier owner is asked last, since its samples run until then.
                 texts = longest_texts(
                     [stored, await self._read_texts_of_earlier_owner(state)]
                 )
@@ -207,7 +206,7 @@
         """Return the texts that the earlier owner generated.
 
         A restarted node may have run the job itself after the earlier owner, so that
-        its own saved texts can be newer. The caller uses the longer of two texts of a
+        its own saved texts can be newer. The caller chooses between two texts of a
         sample.
         """
         if not state.earlier_owner:
--- a/pistachioglade/jobs/_reader.py
+++ b/pistachioglade/jobs/_reader.py
@@ -218,7 +218,7 @@
         return answer if isinstance(answer, SampleTexts) else SampleTexts(())
 
     async def read_owner(self, job_id: str) -> Entry | Refusal:
-        """Read the object that names a job's owner; there is one after a change."""
+        """Read the object that names a job's changed owner."""
         return await self._store.read(
             JOB_KIND, str(RecordName(job_id, RecordKind.OWNER))
         )
--- a/pistachioglade/jobs/_records.py
+++ b/pistachioglade/jobs/_records.py
@@ -189,10 +189,10 @@
     text = "".join(texts)
     digest = hashlib.sha256(text.encode()).hexdigest()[:_DIGEST_DIGITS]
     if digest != submission.digest:
-        raise ValueError(f"parts have digest {digest}, expected {submission.digest}")
+        raise ValueError(f"parts have digest {digest}, not {submission.digest}")
     fields = json.loads(text)
     if not isinstance(fields, dict):
-        raise ValueError("parts don't join to a JSON object")
+        raise ValueError("parts make up no object")
     return fields
 
 
--- a/pistachioglade/jobs/tests/test_failing_work.py
+++ b/pistachioglade/jobs/tests/test_failing_work.py
@@ -1,7 +1,7 @@
-"""A job whose work ends with an unforeseen error goes on a moment later.
+"""An unexpected error in a job's work is followed by another attempt.
 
-Before, a job that could not begin stayed with an owner that never ran it, and one whose
-results could not be listed once listed none any more.
+Without the retry, a job whose start failed would stay with an owner that never runs it,
+and a job with one failed write of results would write none afterwards.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 from .. import Submission, encode_submission
 from .._owner import JobOwner
 from .._result_writer import ResultWriter
-from .test_passing_on import Scene, play
+from .test_passing_on import Scene, run_case
 
 
 def _fails_once(monkeypatch: pytest.MonkeyPatch, owner: Any, name: str) -> list[str]:
-    """Let the next call of a method fail; return a list that tells when it has."""
-    sound = getattr(owner, name)
+    """Make the next call of a method fail; return a list of the failed calls."""
+    original = getattr(owner, name)
     failed: list[str] = []
 
     async def call(*arguments: Any) -> Any:
         if not failed:
             failed.append(name)
             raise ZeroDivisionError
-        return await sound(*arguments)
+        return await original(*arguments)
 
     monkeypatch.setattr(owner, name, call)
     return failed
@@ -41,7 +41,7 @@
     scene.ledger.take(Entry(job_id, 2, value, None), False)
 
 
-def test_a_job_that_could_not_begin_begins_again(
+def test_a_job_whose_start_failed_is_started_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def case(scene: Scene) -> None:
@@ -50,10 +50,10 @@
         await eventually(lambda: "second" in scene.owner.runs)
         assert failed
 
-    play(case, Policy())
+    run_case(case, Policy())
 
 
-def test_results_are_listed_behind_a_fault_of_their_listing(
+def test_results_are_written_after_a_failed_write(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def case(scene: Scene) -> None:
@@ -63,4 +63,4 @@
         await eventually(lambda: bool(scene.ledger.jobs["second"].results))
         assert failed
 
-    play(case, Policy())
+    run_case(case, Policy())
--- a/pistachioglade/jobs/tests/test_frames.py
+++ b/pistachioglade/jobs/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""What entries read of jobs that others run, and what they don't."""
+"""What an entry reads of submissions and results of jobs that others run."""
 
 from __future__ import annotations
 
@@ -38,19 +38,21 @@
 
 
 async def _accept(client: StoreClient, job_id: str) -> Submission:
-    """Store a job as an entry does that accepts it."""
-    sent = Submission("a@h:1", "b", "h", "/", 0.0, _fields(), "m", _ITEMS)
-    kept, parts = split_submission(job_id, sent, _OBJECT_BYTES)
+    """Store a job as an entry that accepts a job does."""
+    submission = Submission("a@h:1", "b", "h", "/", 0.0, _fields(), "m", _ITEMS)
+    stored, parts = split_submission(job_id, submission, _OBJECT_BYTES)
     for part in parts:
         await client.create(RESULT_KIND, part.name, {"text": part.text}, 1.0)
-    await client.create(JOB_KIND, job_id, encode_submission(kept), 1.0)
-    return kept
+    await client.create(JOB_KIND, job_id, encode_submission(stored), 1.0)
+    return stored
 
 
-def test_an_entry_that_starts_reads_little_of_jobs_that_others_run() -> None:
-    """Before: 30 jobs were 1.1 MB here and 2 to 3 MB on a grown fleet, for each entry.
+def test_a_starting_entry_reads_only_small_objects_of_jobs() -> None:
+    """The watched objects of jobs stay small: a starting entry reads all of them.
 
-    All entries start again at once where power is lost, and the store has one link.
+    With the trainers' fields in them, 30 jobs are 1.1 MB here and 2 to 3 MB in a larger
+    fleet, for each entry. After a power loss all entries start at the same time, and
+    the store has one link.
     """
 
     async def work() -> None:
@@ -74,15 +76,15 @@
     return ledger, JobReader("me@h:2", ledger, client, links, lambda _job: False)
 
 
-def test_results_are_read_without_what_was_sent() -> None:
+def test_results_are_read_without_the_parts_of_the_submission() -> None:
     async def work() -> None:
         async with served_store() as store:
             client = store.client()
-            kept = await _accept(client, "job")
+            stored = await _accept(client, "job")
             batch = BatchRecord("w", 0, (json.dumps("r0"),), ("i0",))
             await client.create(RESULT_KIND, "job.r000000", encode_batch(batch), 1.0)
             ledger, reader = _reader(store, client)
-            ledger.take(Entry("job", 1, encode_submission(kept), None), False)
+            ledger.take(Entry("job", 1, encode_submission(stored), None), False)
             state = ledger.jobs["job"]
             assert (state.total, state.model, state.is_open) == (_ITEMS, "m", True)
             assert await reader.page(state, 0, 0.0) == (json.dumps("r0"),)
@@ -92,33 +94,33 @@
     run(work)
 
 
-def test_whoever_runs_a_job_reads_what_was_sent() -> None:
+def test_the_owner_reads_the_parts_of_the_submission() -> None:
     async def work() -> None:
         async with served_store() as store:
             client = store.client()
-            kept = await _accept(client, "job")
+            stored = await _accept(client, "job")
             ledger, reader = _reader(store, client)
-            ledger.take(Entry("job", 1, encode_submission(kept), None), False)
+            ledger.take(Entry("job", 1, encode_submission(stored), None), False)
             state = ledger.jobs["job"]
             assert await reader.complete(state) is None
             assert not isinstance(state.job, Refusal)
             assert len(state.job.items) == state.total == _ITEMS
-            # The watch brings the frame once more; what was read stays.
-            ledger.take(Entry("job", 1, encode_submission(kept), None), False)
+            # The watch delivers the submission without fields again: the fields stay.
+            ledger.take(Entry("job", 1, encode_submission(stored), None), False)
             assert state.is_whole
 
     run(work)
 
 
-def test_the_entry_that_accepts_a_job_knows_all_of_it() -> None:
-    sent = Submission("a@h:1", "b", "h", "/", 0.0, _fields(), "m", _ITEMS)
-    kept, _parts = split_submission("job", sent, _OBJECT_BYTES)
-    earlier = decode_submission(encode_submission(kept) | {"owner": "c@h:3"})
+def test_the_accepting_entry_restores_fields_of_the_same_digest() -> None:
+    submission = Submission("a@h:1", "b", "h", "/", 0.0, _fields(), "m", _ITEMS)
+    stored, _parts = split_submission("job", submission, _OBJECT_BYTES)
+    earlier = decode_submission(encode_submission(stored) | {"owner": "c@h:3"})
     assert isinstance(earlier, Submission)
-    again = Submission("a@h:1", "b", "h", "/", 0.0, _fields(), digest=kept.digest)
-    whole = rejoined(earlier, again)
-    assert whole.owner == "c@h:3"
-    assert whole.is_whole
-    assert whole.fields == sent.fields
+    again = Submission("a@h:1", "b", "h", "/", 0.0, _fields(), digest=stored.digest)
+    restored = rejoined(earlier, again)
+    assert restored.owner == "c@h:3"
+    assert restored.is_whole
+    assert restored.fields == submission.fields
     other = Submission("a@h:1", "b", "h", "/", 0.0, {}, digest="another")
     assert not rejoined(earlier, other).is_whole
--- a/pistachioglade/jobs/tests/test_ledger.py
+++ b/pistachioglade/jobs/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""Jobs built from the store's objects, and their removal."""
+"""Jobs built from the objects of the store, and the removal of expired jobs."""
 
 from __future__ import annotations
 
@@ -44,13 +44,13 @@
         ("job.r000012", RecordName("job", RecordKind.BATCH, 12)),
     ],
 )
-def test_names(text: str, name: RecordName) -> None:
+def test_a_name_is_parsed_and_formatted(text: str, name: RecordName) -> None:
     assert parse_name(text) == name
     assert str(name) == text
 
 
 @pytest.mark.parametrize("text", ["job.x", "job.rx", "job.end.end"])
-def test_names_that_are_not_ours(text: str) -> None:
+def test_an_unknown_name_is_not_parsed(text: str) -> None:
     assert parse_name(text) is None
 
 
@@ -60,7 +60,7 @@
     return ledger
 
 
-def test_batches_count_once_and_in_order() -> None:
+def test_batches_are_added_once_and_in_order() -> None:
     async def work() -> None:
         ledger = await _ledger()
         state = ledger.jobs["job"]
@@ -77,7 +77,7 @@
     run(work)
 
 
-def test_only_a_newer_owner_counts() -> None:
+def test_an_older_owner_change_is_ignored() -> None:
     async def work() -> None:
         ledger = await _ledger()
         state = ledger.jobs["job"]
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("value", [None, {}, {"owner": 1}, "text"])
-def test_objects_that_can_not_be_read_change_nothing(value: object) -> None:
+def test_unreadable_objects_change_nothing(value: object) -> None:
     async def work() -> None:
         ledger = await _ledger()
         ledger.take(Entry("other", 2, value, None), False)
@@ -104,7 +104,7 @@
     run(work)
 
 
-def test_readers_wake_with_a_result() -> None:
+def test_a_waiting_reader_wakes_with_the_next_result() -> None:
     async def work() -> None:
         ledger = await _ledger()
         state = ledger.jobs["job"]
@@ -117,7 +117,7 @@
     run(work)
 
 
-def test_pages_hold_less_than_a_megabyte_and_one_result_at_least() -> None:
+def test_pages_have_at_least_one_result_and_at_most_a_megabyte() -> None:
     async def work() -> None:
         ledger = await _ledger()
         state = ledger.jobs["job"]
@@ -129,8 +129,8 @@
     run(work)
 
 
-def test_old_jobs_leave_the_store_and_young_ones_stay() -> None:
-    """Age counts from when this process saw a job; the time of day may be wrong."""
+def test_expired_jobs_are_removed_and_new_jobs_stay() -> None:
+    """The age counts from when this process saw a job: the wall clock may be wrong."""
 
     async def work() -> None:
         async with served_store() as store:
@@ -140,9 +140,9 @@
             cases = (("old", 4e9, now_s - 131.0), ("young", 0.0, now_s))
             for name, accepted_s, first_seen_s in cases:
                 value = _submission(accepted_s)
-                made = await client.create(JOB_KIND, name, value, 5.0)
-                assert isinstance(made, Entry)
-                ledger.take(made, False)
+                stored = await client.create(JOB_KIND, name, value, 5.0)
+                assert isinstance(stored, Entry)
+                ledger.take(stored, False)
                 ledger.jobs[name].first_seen_s = first_seen_s
                 batch = encode_batch(_batch(0, 4))
                 await client.create(RESULT_KIND, f"{name}.r000000", batch, 5.0)
--- a/pistachioglade/jobs/tests/test_passing_on.py
+++ b/pistachioglade/jobs/tests/test_passing_on.py
@@ -1,4 +1,4 @@
-"""What the samples of a job lose when it passes on to another entry."""
+"""Samples of a job that is handed over to another entry."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from .. import JobLedger, JobOwner, JobReader, Submission, encode_submission
 from .._job_run import JobRun
 from .._sample_scheduler import SampleScheduler
-from .test_scheduler import _entry, run_of
+from .test_scheduler import instance_entry_of, run_of
 
 _ROUTE = {
     "name": "jobs",
@@ -31,26 +31,26 @@
 
 @attrs.frozen
 class Scene:
-    """An entry that runs a job of one sample, at an engine of 50 events a second."""
+    """An entry that runs a job of one sample at an engine of 50 events per second."""
 
     owner: JobOwner
     ledger: JobLedger
     engine: FleetInstance
 
     def events(self) -> int:
-        """Return the events that the next owner would get now, without asking."""
+        """Return the number of events that the next owner would get now."""
         owner = self.owner
         found = owner.runs.get("job") or owner._handed_over["job"]
         return sum(len(record.parts) for record in found.texts().texts)
 
-    def pass_on(self) -> None:
-        """Give the job to another entry."""
+    def change_owner(self) -> None:
+        """Make another entry the job's owner."""
         value = {"owner": "other@h:2", "earlier": "me@h:1", "is_alive": True}
         self.ledger.take(Entry("job.owner", 9, value, None), False)
         assert "job" not in self.owner.runs
 
 
-def play(case: Callable[[Scene], Awaitable[None]], policy: Policy) -> None:
+def run_case(case: Callable[[Scene], Awaitable[None]], policy: Policy) -> None:
     async def work() -> None:
         async with served_store() as store:
             client = store.client()
@@ -90,55 +90,63 @@
     run(work)
 
 
-def test_samples_run_on_until_the_next_owner_asks_for_their_texts() -> None:
-    """Before: 0.2 to 0.35 s of each running sample was lost at a planned stop."""
+def test_samples_run_until_the_next_owner_asks_for_their_texts() -> None:
+    """Guards against loss of running samples' progress at a planned stop.
+
+    Samples that stop at the handover lose 0.2 to 0.35 s each until the next owner
+    has read the job.
+    """
 
     async def case(scene: Scene) -> None:
         before = scene.events()
-        scene.pass_on()
-        # What the next owner takes to read the job.
+        scene.change_owner()
+        # Time in which the next owner reads the job.
         await asyncio.sleep(0.2)
-        made = scene.owner.texts("job")
-        assert len(made.texts[0].parts) > before + 2
+        texts = scene.owner.texts("job")
+        assert len(texts.texts[0].parts) > before + 2
         await eventually(lambda: scene.engine.running == 0)
-        assert scene.owner.texts("job") == made
+        assert scene.owner.texts("job") == texts
 
-    play(case, Policy())
+    run_case(case, Policy())
 
 
-def test_they_stop_by_themselves_where_nobody_asks() -> None:
+def test_handed_over_samples_stop_after_a_time_if_nobody_asks() -> None:
     async def case(scene: Scene) -> None:
-        scene.pass_on()
+        scene.change_owner()
         await eventually(lambda: scene.engine.running == 0)
         assert scene.owner.texts("job").texts
 
-    play(case, Policy())
+    run_case(case, Policy())
 
 
-def test_they_stop_with_the_job() -> None:
+def test_handed_over_samples_stop_when_the_job_ends() -> None:
     async def case(scene: Scene) -> None:
-        scene.pass_on()
+        scene.change_owner()
         scene.ledger.take(Entry("job.end", 10, {}, None), False)
-        run_on = scene.owner._handed_over.get("job")
-        assert run_on is None
+        handed_over = scene.owner._handed_over.get("job")
+        assert handed_over is None
         await eventually(lambda: scene.engine.running == 0)
 
-    play(case, Policy())
+    run_case(case, Policy())
 
 
-def test_without_it_they_stop_at_once() -> None:
+def test_handed_over_samples_stop_at_once_without_the_mechanism() -> None:
     async def case(scene: Scene) -> None:
         before = scene.events()
-        scene.pass_on()
+        scene.change_owner()
         await asyncio.sleep(0.2)
         assert len(scene.owner.texts("job").texts[0].parts) <= before + 1
 
-    play(case, Policy(frozenset({Mechanism.RUNNING_ON})))
+    run_case(case, Policy(frozenset({Mechanism.RUNNING_ON})))
 
 
 @pytest.mark.parametrize("is_catching_up", [True, False])
-def test_what_has_begun_elsewhere_goes_before_new_samples(is_catching_up: bool) -> None:
-    """Eight jobs passed on; the one with most new samples filled the engines first."""
+def test_samples_with_a_text_start_before_new_samples(is_catching_up: bool) -> None:
+    """New samples wait while jobs are being taken over.
+
+    Of eight jobs that change owner together, the job with the most new samples would
+    otherwise fill the engines before samples that already have a text.
+    """
 
     async def work() -> None:
         view = FleetView(lambda: None)
@@ -149,8 +157,8 @@
         runs["job"] = run_of(JobLedger(), 4)
         begun = runs["job"].samples["i3"]
         begun.text.parts, begun.text.last_event = ["x"], 0
-        view.take_instance(_entry("one"), False)
-        # One that hasn't would get a single sample, whatever is catching up.
+        view.take_instance(instance_entry_of("one"), False)
+        # An instance that has never answered gets a single sample at a time.
         view.records["one"].answered()
         scheduler.is_enabled = True
         scheduler.start_waiting_samples()
--- a/pistachioglade/jobs/tests/test_reader.py
+++ b/pistachioglade/jobs/tests/test_reader.py
@@ -1,4 +1,4 @@
-"""Results read while the owner of a job changes."""
+"""Reading of results from the owner of a job, its next owner or the store."""
 
 from __future__ import annotations
 
@@ -48,12 +48,12 @@
     return run(work)
 
 
-def test_an_owner_that_has_not_begun_reads_the_store() -> None:
-    """Grown vjn-rollout scale-2: LOST at an entry that a job was handed to."""
+def test_an_owner_that_has_not_started_the_job_reads_the_store() -> None:
+    """Guards against lost results at an entry that a job was just handed to."""
     assert _read("me@h:1", lambda _job: False) == ('"r1"',)
 
 
-def test_an_owner_that_runs_the_job_knows_its_results() -> None:
+def test_an_owner_that_runs_the_job_does_not_read_the_store() -> None:
     assert _read("me@h:1", lambda _job: True) == ()
 
 
@@ -66,9 +66,9 @@
     [
         # The owner remembers results of a job that has ended.
         (ResultPage(('"r1"',), False), ('"r1"',), 0),
-        # It has all of them: there is nothing to look for.
+        # The owner is sure that there are no more results.
         (ResultPage((), True), (), 0),
-        # It knows none and doesn't run the job: the store may have more.
+        # The owner knows none and doesn't run the job: the store may have more.
         (ResultPage((), False), ('"r1"',), 2),
         (refuse(ErrorKind.LINK_LOST, "cut"), ('"r1"',), 2),
     ],
@@ -76,7 +76,10 @@
 def test_the_store_is_read_only_for_what_the_owner_does_not_know(
     told: ResultPage | Refusal, expected: tuple[str, ...], reads: int
 ) -> None:
-    """Grown jalrekha quiet-1: 639 of 2,083 paid calls read listed results again."""
+    """Guards against charged reads of results that the owner knows.
+
+    In one workload, 639 of 2,083 charged calls to the store were such reads.
+    """
 
     async def work() -> None:
         async with served_store() as store:
@@ -98,8 +101,11 @@
     run(work)
 
 
-def test_a_reader_asks_the_new_owner_when_a_job_passes_on() -> None:
-    """Readers were told 2 s after the new owner had listed what they waited for."""
+def test_a_reader_asks_the_new_owner_after_a_change() -> None:
+    """Guards against readers that keep waiting for a dead owner.
+
+    Such readers get the results 2 s after the new owner has written them.
+    """
 
     async def work() -> None:
         async with served_store() as store:
--- a/pistachioglade/jobs/tests/test_replaced_instances.py
+++ b/pistachioglade/jobs/tests/test_replaced_instances.py
@@ -1,9 +1,9 @@
-"""All instances start anew under other ids while the list is still of before.
+"""Instances restart under other ids while the list of instances is out of date.
 
-What users saw: behind a loss of all power the entry that ran the jobs tried 21 engines
-that were gone 844 times, 39 to 48 times each, and 161 samples waited for it; steps
-ended up to 3.7 s late. The cause: the answer of another engine at that address counted
-as a refusal by a full one, with a pause of 0.06 to 0.25 s.
+After a power loss, other engines answer at the addresses of listed engines. If such an
+answer counts as a refusal by a full engine, with a pause of 0.06 to 0.25 s, the entry
+keeps trying engines that are gone: 21 engines were tried 844 times, 39 to 48 times
+each, while 161 samples waited, and steps ended up to 3.7 s late.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from .._sample_scheduler import SampleScheduler
 from .test_scheduler import run_of
 
-#: Time for which the list is of before.
+#: Time for which the list of instances stays out of date.
 _STALE_S = 1.5
 
 
@@ -33,11 +33,11 @@
     view: FleetView
     job: JobRun
     engines: list[FleetInstance]
-    # How often the list was found to be out of date.
+    # One element for each time that the list was found to be out of date.
     outdated: list[None]
 
 
-def _play(
+def _run_case(
     engines: int, samples: int, case: Callable[[_Scene], Awaitable[None]]
 ) -> None:
     async def work() -> None:
@@ -46,18 +46,18 @@
         scheduler = SampleScheduler(view, Forwarder(view, "a"), Metrics(), runs)
         runs["job"] = run_of(JobLedger(), samples)
         found = [
-            FleetInstance(f"new-{place}", "lm", ("m",)) for place in range(engines)
+            FleetInstance(f"new-{index}", "lm", ("m",)) for index in range(engines)
         ]
         for engine in found:
             await engine.start()
         outdated: list[None] = []
         view.on_outdated.append(lambda: outdated.append(None))
         scheduler.is_enabled = True
-        looking = asyncio.create_task(scheduler.run())
+        scheduling = asyncio.create_task(scheduler.run())
         try:
             await case(_Scene(view, runs["job"], found, outdated))
         finally:
-            looking.cancel()
+            scheduling.cancel()
             runs["job"].stop()
             for engine in found:
                 engine.stop()
@@ -70,29 +70,29 @@
 
 
 @pytest.mark.parametrize("engines", [20, 200])
-def test_each_id_that_is_gone_is_tried_once(engines: int) -> None:
+def test_each_instance_that_is_gone_is_tried_once(engines: int) -> None:
     async def case(scene: _Scene) -> None:
-        for place, engine in enumerate(scene.engines):
-            _list(scene.view, engine, f"old-{place}", 1)
+        for index, engine in enumerate(scene.engines):
+            _list(scene.view, engine, f"old-{index}", 1)
         begun_s = asyncio.get_running_loop().time()
         await eventually(lambda: bool(scene.outdated))
         await asyncio.sleep(_STALE_S)
         assert 0 < sum(engine.misdirected for engine in scene.engines) <= engines
-        # Once a second at most, however long the machine lets this take.
+        # At most once a second, however long this takes on a busy machine.
         passed_s = asyncio.get_running_loop().time() - begun_s
         assert 1 <= len(scene.outdated) <= 1 + passed_s
-        for place, engine in enumerate(scene.engines):
+        for index, engine in enumerate(scene.engines):
             _list(scene.view, engine, engine.id, 2)
-            scene.view.take_instance(Entry(f"old-{place}", 3, {}, None), True)
-        # The first sample runs as soon as the new list is here.
+            scene.view.take_instance(Entry(f"old-{index}", 3, {}, None), True)
+        # Samples start as soon as the new list is known.
         await eventually(lambda: any(engine.running for engine in scene.engines))
         await eventually(lambda: not scene.job.samples)
         assert sum(engine.misdirected for engine in scene.engines) <= engines
 
-    _play(engines, 160, case)
+    _run_case(engines, 160, case)
 
 
-def test_a_newer_entry_opens_an_absent_instance_again() -> None:
+def test_an_absent_instance_is_used_again_after_a_newer_list_entry() -> None:
     async def case(scene: _Scene) -> None:
         engine = scene.engines[0]
         _list(scene.view, engine, "old", 1)
@@ -103,11 +103,14 @@
         _list(scene.view, engine, "old", 2)
         await eventually(lambda: not scene.job.samples)
 
-    _play(1, 4, case)
+    _run_case(1, 4, case)
 
 
-def test_an_engine_that_loads_one_model_keeps_its_room_for_others() -> None:
-    """Weights load several times a minute; samples of the other model went nowhere."""
+def test_an_engine_that_loads_one_model_stays_available_for_others() -> None:
+    """A refusal during a load of weights blocks only the model that is loading.
+
+    Weights load several times a minute, and samples of other models must not wait.
+    """
 
     async def case(scene: _Scene) -> None:
         engine = scene.engines[0]
@@ -119,9 +122,9 @@
         assert not record.is_resting(now_s())
         assert not record.is_loading("other", now_s())
         await asyncio.sleep(1.0)
-        # One at a time asks whether the load is over.
+        # Only one sample at a time tries whether the load is over.
         assert record.load_refusals["m"] <= 9
         engine.loading.clear()
         await eventually(lambda: not scene.job.samples)
 
-    _play(1, 4, case)
+    _run_case(1, 4, case)
--- a/pistachioglade/jobs/tests/test_result_writer.py
+++ b/pistachioglade/jobs/tests/test_result_writer.py
@@ -1,4 +1,4 @@
-"""What readers find of results that were finished while the store was away."""
+"""Results that are finished while the store gives no answers."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 _ITEMS = ("a", "b", "c")
 
 
-def _play(case: Callable[[ServedStore, ResultWriter], Awaitable[None]]) -> None:
+def _run_case(case: Callable[[ServedStore, ResultWriter], Awaitable[None]]) -> None:
     async def work() -> None:
         async with served_store() as store:
             client = store.client()
@@ -66,7 +66,7 @@
 
 
 async def _finish_three(store: ServedStore, writer: ResultWriter) -> None:
-    """Finish one result before the first try, two while it gets no answer."""
+    """Queue one result before the first try and two while that try has no answer."""
     calls = len(store.calls)
     writer.add(Result("a", False), "")
     await eventually(lambda: len(store.calls) > calls)
@@ -74,8 +74,8 @@
     writer.add(Result("c", False), "")
 
 
-def test_what_ends_in_an_outage_is_read_in_one_page() -> None:
-    """Before: two batches, of which a trainer reads the second 0.7 s later."""
+def test_results_finished_in_an_outage_are_written_in_one_batch() -> None:
+    """A trainer reads the second of two batches 0.7 s later than the first."""
 
     async def case(store: ServedStore, writer: ResultWriter) -> None:
         store.standin.faults.down = True
@@ -85,18 +85,18 @@
         await eventually(lambda: not writer._unwritten)
         assert await _batches(store) == [("a", "b", "c")]
 
-    _play(case)
+    _run_case(case)
 
 
-def test_a_try_that_took_effect_without_an_answer_stays_in_force() -> None:
-    """Each item stands at one position, whichever of the tries the store took."""
+def test_a_batch_whose_answer_was_lost_is_kept() -> None:
+    """Each item has one position, whichever of the tries the store accepted."""
 
     async def case(store: ServedStore, writer: ResultWriter) -> None:
         store.dropped_answers = 1
         await _finish_three(store, writer)
         await eventually(lambda: not writer._unwritten)
-        listed = [item for batch in await _batches(store) for item in batch]
-        assert sorted(listed) == ["a", "b", "c"]
+        stored_ids = [item for batch in await _batches(store) for item in batch]
+        assert sorted(stored_ids) == ["a", "b", "c"]
         assert (await _batches(store))[0] == ("a",)
 
-    _play(case)
+    _run_case(case)
--- a/pistachioglade/jobs/tests/test_scheduler.py
+++ b/pistachioglade/jobs/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Placing beside a list of instances that changes at any moment."""
+"""Assignment of samples to instances while the list of instances changes."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 )
 
 
-def _entry(name: str) -> Entry:
+def instance_entry_of(name: str) -> Entry:
     models = [{"name": "m", "version": 1}]
     return Entry(name, 1, instance_entry("lm", slots=2, models=models), None)
 
@@ -65,19 +65,19 @@
     )
 
 
-def test_a_sample_whose_instance_goes_before_it_starts_waits_again() -> None:
+def test_a_sample_waits_again_if_its_instance_goes_before_the_try() -> None:
     async def work() -> None:
         view = FleetView(lambda: None)
         runs: dict[str, JobRun] = {}
         scheduler = SampleScheduler(view, Forwarder(view, "a"), Metrics(), runs)
         runs["job"] = run_of(JobLedger(), 2)
-        view.take_instance(_entry("gone"), False)
+        view.take_instance(instance_entry_of("gone"), False)
         view.records["gone"].answered()
         scheduler.is_enabled = True
         scheduler.start_waiting_samples()
         samples = list(runs["job"].samples.values())
         assert [sample.running_at for sample in samples] == ["gone", "gone"]
-        view.take_instance(_entry("gone"), True)
+        view.take_instance(instance_entry_of("gone"), True)
         for _ in range(3):
             await asyncio.sleep(0)
         assert all(sample.is_waiting for sample in samples)
@@ -86,8 +86,11 @@
     run(work)
 
 
-def test_all_samples_of_a_step_count_before_any_has_begun() -> None:
-    """Jalrekha trouble-3: sixty samples went to one engine of eight slots."""
+def test_assigned_samples_count_before_their_tasks_run() -> None:
+    """Guards against sixty samples at one engine of eight slots.
+
+    This happens if a sample counts at its engine only once its task runs.
+    """
 
     async def work() -> None:
         view = FleetView(lambda: None)
@@ -95,8 +98,8 @@
         scheduler = SampleScheduler(view, Forwarder(view, "a"), Metrics(), runs)
         runs["job"] = run_of(JobLedger(), 7)
         for name in ("one", "two", "three"):
-            view.take_instance(_entry(name), False)
-            # One that hasn't would get a single sample, whatever is counted.
+            view.take_instance(instance_entry_of(name), False)
+            # An instance that has never answered gets a single sample at a time.
             view.records[name].answered()
         scheduler.is_enabled = True
         scheduler.start_waiting_samples()
@@ -108,8 +111,11 @@
     run(work)
 
 
-def test_samples_that_wait_for_weights_are_not_weighed_against_each_engine() -> None:
-    """Steps that wait for a version: a look took 17 ms of a core beside six engines."""
+def test_samples_with_one_requirement_are_checked_against_engines_once() -> None:
+    """Guards against slow scheduling passes while steps wait for a weight version.
+
+    With one check per sample and engine, a pass took 17 ms of a core with six engines.
+    """
 
     async def work() -> None:
         view = FleetView(lambda: None)
@@ -117,41 +123,41 @@
         scheduler = SampleScheduler(view, Forwarder(view, "a"), Metrics(), runs)
         runs["job"] = run_of(JobLedger(), 200)
         for number in range(40):
-            view.take_instance(_entry(f"engine-{number}"), False)
+            view.take_instance(instance_entry_of(f"engine-{number}"), False)
             view.records[f"engine-{number}"].versions["m"] = -1
-        asked = 0
+        calls = 0
         open_handles = view.open_handles
 
         def count(upstream: str) -> Any:
-            nonlocal asked
-            asked += 1
+            nonlocal calls
+            calls += 1
             return open_handles(upstream)
 
         view.open_handles = count  # type: ignore[method-assign]
         scheduler.is_enabled = True
         scheduler.start_waiting_samples()
-        assert asked == 1
+        assert calls == 1
         assert all(sample.is_waiting for sample in runs["job"].samples.values())
 
     run(work)
 
 
-def test_a_burst_of_changes_is_one_look_for_places() -> None:
+def test_a_burst_of_changes_causes_one_scheduling_pass() -> None:
     async def work() -> None:
         view = FleetView(lambda: None)
         scheduler = SampleScheduler(view, Forwarder(view, "a"), Metrics(), {})
-        looks = 0
+        passes = 0
         start_waiting_samples = scheduler.start_waiting_samples
 
         def count() -> None:
-            nonlocal looks
-            looks += 1
+            nonlocal passes
+            passes += 1
             start_waiting_samples()
 
         scheduler.start_waiting_samples = count  # type: ignore[method-assign]
         for number in range(40):
-            view.take_instance(_entry(f"engine-{number}"), False)
+            view.take_instance(instance_entry_of(f"engine-{number}"), False)
         await asyncio.sleep(0.01)
-        assert looks == 1
+        assert passes == 1
 
     run(work)
--- a/pistachioglade/jobs/tests/test_takeover.py
+++ b/pistachioglade/jobs/tests/test_takeover.py
@@ -1,4 +1,4 @@
-"""A job that is taken over: nothing can be listed behind its new owner's back."""
+"""A job that is taken over: stored results, texts, and fencing of the earlier owner."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 }
 
 
-def test_a_takeover_reads_what_is_listed_and_takes_the_next_number() -> None:
-    """LOST on the grown jalrekha scale-1, TWICE on days with restarts."""
+def test_a_takeover_reads_stored_results_and_takes_the_next_number() -> None:
+    """Guards against results that are lost, or stored twice, after restarts."""
 
     async def work() -> None:
         async with served_store() as store:
@@ -44,11 +44,11 @@
             ledger, owner = _owner_of(client)
             owner.enable()
             listed = BatchRecord("old", 0, (json.dumps("r0"),), ("i0",))
-            made = await client.create(
+            stored = await client.create(
                 RESULT_KIND, "job.r000000", encode_batch(listed), 5.0
             )
-            assert isinstance(made, Entry)
-            _take_job(ledger)
+            assert isinstance(stored, Entry)
+            _add_taken_over_job(ledger)
             await eventually(lambda: "job" in owner.runs)
             assert set(owner.runs["job"].samples) == {"i1"}
             late = BatchRecord("old", 1, (json.dumps("r1"),), ("i1",))
@@ -62,8 +62,8 @@
     run(work)
 
 
-def test_a_node_that_starts_again_goes_on_from_what_it_has_saved_itself() -> None:
-    """Before: from what the earlier owner had saved, two seconds of text behind."""
+def test_a_restarted_node_continues_from_its_own_saved_texts() -> None:
+    """The earlier owner's saved texts can be two seconds older than the node's own."""
 
     async def work() -> None:
         async with served_store() as store:
@@ -71,9 +71,9 @@
             ledger, owner = _owner_of(client)
             for node, events in (("old", 3), ("new", 5)):
                 record = TextRecord("i0", ("a",) * events, events - 1, (3,), 0)
-                made = {"job": unstructure(SampleTexts((record,)))}
-                await client.create(TEXT_KIND, node, made, 5.0)
-            _take_job(ledger)
+                value = {"job": unstructure(SampleTexts((record,)))}
+                await client.create(TEXT_KIND, node, value, 5.0)
+            _add_taken_over_job(ledger)
             owner.enable()
             await eventually(lambda: "job" in owner.runs)
             assert owner.runs["job"].samples["i0"].text.last_event == 4
@@ -82,20 +82,20 @@
     run(work)
 
 
-def test_of_two_texts_of_a_sample_the_scored_or_longer_one_counts() -> None:
+def test_the_scored_or_else_longer_of_two_texts_is_chosen() -> None:
     def text(item: str, events: int, score: str | None = None) -> TextRecord:
         return TextRecord(item, ("a",) * events, events - 1, (3,), 0, score)
 
     first = SampleTexts((text("i0", 5), text("i1", 4), text("i2", 6, "score")))
     second = SampleTexts((text("i0", 3), text("i1", 7), text("i2", 6)))
-    for made in ([first, second], [second, first]):
-        best = {record.item_id: record for record in longest_texts(made).texts}
+    for sources in ([first, second], [second, first]):
+        best = {record.item_id: record for record in longest_texts(sources).texts}
         assert [len(best[name].parts) for name in ("i0", "i1", "i2")] == [5, 7, 6]
         assert best["i2"].score == "score"
 
 
-def test_a_whole_text_that_was_not_listed_is_listed_by_the_new_owner() -> None:
-    """Jalrekha trouble-3: made whole while the store was away, and made again."""
+def test_the_new_owner_writes_a_complete_text_without_a_stored_result() -> None:
+    """Guards against a second generation of a text completed in a store outage."""
 
     async def work() -> None:
         async with served_store() as store:
@@ -106,9 +106,9 @@
             sample.text.parts, sample.text.last_event = ["a", "b"], 1
             sample.text.versions = {3}
             first.finish(sample, sample.result("score"))
-            made = first.texts()
+            texts = first.texts()
             second = _run_of(ledger, client, "new")
-            second.adopt_texts(made)
+            second.adopt_texts(texts)
             assert set(second.samples) == {"i1"}
             second.start()
             state = ledger.jobs["job"]
@@ -122,7 +122,7 @@
     run(work)
 
 
-def test_texts_of_an_ended_job_are_scored_anew() -> None:
+def test_texts_of_an_ended_job_lose_their_scores() -> None:
     carried = CarriedTexts()
     record = TextRecord("i0", ("a",), 0, (3,), 0, "score")
     carried.add_texts(SampleTexts((record,)))
@@ -150,8 +150,8 @@
     return ledger, owner
 
 
-def _take_job(ledger: JobLedger) -> None:
-    """Take a job of two items that has passed from old to new."""
+def _add_taken_over_job(ledger: JobLedger) -> None:
+    """Add a job of two items whose owner changed from old to new."""
     fields = {"items": [{"id": f"i{number}", "path": "/"} for number in (0, 1)]}
     submission = Submission("old@h:2", "b", "h", "/", 4e9, fields)
     ledger.take(Entry("job", 1, encode_submission(submission), None), False)
--- a/pistachioglade/jobs/tests/test_text_saver.py
+++ b/pistachioglade/jobs/tests/test_text_saver.py
@@ -1,4 +1,4 @@
-"""Texts that are saved for the node that runs a job next."""
+"""Texts that are saved for the next node that runs a job."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
     return TextRecord(item, ("x" * 100,) * events, events - 1, (1,), 0)
 
 
-def test_the_longest_texts_of_all_jobs_are_worth_saving() -> None:
-    made = {
+def test_the_longest_texts_of_all_jobs_are_chosen() -> None:
+    texts_by_job = {
         "a": SampleTexts((_text("a1", 30), _text("a2", 200), _text("a3", 5))),
         "b": SampleTexts((_text("b1", 120),)),
         "c": SampleTexts((_text("c1", 2),)),
     }
-    kept = choose_texts(made, 10**6)
+    kept = choose_texts(texts_by_job, 10**6)
     assert [item.item_id for item in kept["a"].texts] == ["a2", "a1"]
     assert [item.item_id for item in kept["b"].texts] == ["b1"]
     assert "c" not in kept
     # 200 events of 100 bytes take 20.8 kB, 120 of them 12.5 kB, 30 of them 3.1 kB.
-    fewer = choose_texts(made, 36_000)
+    fewer = choose_texts(texts_by_job, 36_000)
     assert {job: len(texts.texts) for job, texts in fewer.items()} == {"a": 1, "b": 1}
 
 
@@ -45,37 +45,39 @@
     )
 )
 @example([("\u0916" * 40, 60)] * 8)
-def test_what_is_worth_saving_fits_an_object_whatever_its_alphabet(
+def test_chosen_texts_fit_an_object_whatever_their_characters(
     drawn: list[tuple[str, int]],
 ) -> None:
     records = tuple(
         TextRecord(f"item-{number}", (part,) * events, events - 1, (1,), 0)
         for number, (part, events) in enumerate(drawn)
     )
-    most = 20_000
-    kept = choose_texts({"a": SampleTexts(records)}, most)
+    max_bytes = 20_000
+    kept = choose_texts({"a": SampleTexts(records)}, max_bytes)
     value = {job: unstructure(texts) for job, texts in kept.items()}
-    one_too_large = len(kept.get("a", SampleTexts(())).texts) == 1
-    assert one_too_large or len(json.dumps(value)) <= most
+    is_single_text = len(kept.get("a", SampleTexts(())).texts) == 1
+    assert is_single_text or len(json.dumps(value)) <= max_bytes
 
 
-def test_a_nodes_texts_stand_in_one_object_and_are_read_by_job() -> None:
+def test_a_nodes_texts_are_saved_in_one_object_and_read_by_job() -> None:
     async def work() -> None:
         async with served_store() as store:
             client = store.client()
-            made = {"a": SampleTexts((_text("a1", 40),))}
+            texts_by_job = {"a": SampleTexts((_text("a1", 40),))}
             may_save = False
-            saver = TextSaver(client, "node", lambda: made if may_save else None)
+            saver = TextSaver(
+                client, "node", lambda: texts_by_job if may_save else None
+            )
             task = asyncio.create_task(saver.run())
             await asyncio.sleep(0.5)
             assert (TEXT_KIND, "node") not in store.standin._objects
             may_save = True
             key = (TEXT_KIND, "node")
             await eventually(lambda: bool(_value(store, key)))
-            made["b"] = SampleTexts((_text("b1", 60),))
+            texts_by_job["b"] = SampleTexts((_text("b1", 60),))
             await eventually(lambda: "b" in _value(store, key))
-            assert await read_saved_texts(client, "node", "a") == made["a"]
-            assert await read_saved_texts(client, "node", "b") == made["b"]
+            assert await read_saved_texts(client, "node", "a") == texts_by_job["a"]
+            assert await read_saved_texts(client, "node", "b") == texts_by_job["b"]
             assert (await read_saved_texts(client, "node", "c")).texts == ()
             assert (await read_saved_texts(client, "other", "a")).texts == ()
             task.cancel()
@@ -87,30 +89,30 @@
     run(work)
 
 
-def test_texts_that_fill_their_object_are_saved_as_they_grow() -> None:
-    """A full object of texts is written again once its texts have grown.
+def test_texts_that_fill_their_object_are_saved_again_as_they_grow() -> None:
+    """Guards against a full object whose growing texts are not saved again.
 
-    What users saw: behind a death of all processes, steps began anew that had been made
-    for two seconds, and ended four seconds late. The cause: texts were saved if their
-    events, summed over all samples, had changed; but a full object holds as many events
-    at each save, since shorter texts leave it as others grow. The evidence: two saves
-    of 976 and 996 kB, 2.55 s apart, though the first named 1.22 s to the next.
+    The sum of events in a full object stays the same, since shorter texts leave the
+    object as others grow; a save that depends on that sum is skipped. Two saves of 976
+    and 996 kB were 2.55 s apart with an interval of 1.22 s; after all processes died,
+    steps lost two seconds of work and ended four seconds late.
     """
 
     async def work() -> None:
         async with served_store() as store:
             client = store.client()
             client.max_object_bytes = 10_000
-            made = {"a": SampleTexts((_text("a1", 40), _text("a2", 32)))}
-            saver = TextSaver(client, "node", lambda: made)
+            texts_by_job = {"a": SampleTexts((_text("a1", 40), _text("a2", 32)))}
+            saver = TextSaver(client, "node", lambda: texts_by_job)
             task = asyncio.create_task(saver.run())
 
             async def is_saved(*texts: TextRecord) -> None:
                 await eventually(lambda: _saved(store) == texts)
 
             await is_saved(_text("a1", 40), _text("a2", 32))
-            # Both grow; the shorter one no longer fits, and the sum is what it was.
-            made["a"] = SampleTexts((_text("a1", 72), _text("a2", 64)))
+            # Both texts grow; the shorter one doesn't fit any more, and the sum of
+            # events in the object stays the same.
+            texts_by_job["a"] = SampleTexts((_text("a1", 72), _text("a2", 64)))
             await is_saved(_text("a1", 72))
             assert await read_saved_texts(client, "node", "a") == SampleTexts(
                 (_text("a1", 72),)
@@ -127,25 +129,24 @@
 
 
 def test_jobs_that_begin_put_a_save_off_by_no_whole_turn() -> None:
-    """A node begins a job in a few hundredths of a second, often just as a save is due.
+    """A job that starts as a save is due delays the save only until the start is over.
 
-    Texts that are due are saved as soon as the job has begun: of two turns of 0.4 s in
-    which a job begins, none is lost. Played with pauses of the saver alone: it looks
-    again well before its next turn.
+    A start takes a few hundredths of a second. The saver must check again soon and not
+    skip an interval of 0.4 s. The test replaces the saver's sleeps and records them.
     """
     pauses: list[float] = []
 
     async def work() -> None:
         async with served_store() as store:
             client = store.client()
-            looks = iter([None, None, {"a": SampleTexts((_text("a1", 40),))}])
-            saver = TextSaver(client, "node", lambda: next(looks))
+            results = iter([None, None, {"a": SampleTexts((_text("a1", 40),))}])
+            saver = TextSaver(client, "node", lambda: next(results))
 
-            async def note(pause_s: float) -> None:
+            async def record_pause(pause_s: float) -> None:
                 pauses.append(pause_s)
 
             clock = SimpleNamespace(
-                sleep=note, get_running_loop=asyncio.get_running_loop
+                sleep=record_pause, get_running_loop=asyncio.get_running_loop
             )
             with (
                 mock.patch.object(_text_saver, "asyncio", clock),
@@ -155,5 +156,5 @@
             assert len((await read_saved_texts(client, "node", "a")).texts) == 1
 
     run(work)
-    # The turn, two looks while the job begins, and the turn behind the save.
+    # The interval, two checks while the job starts, and the interval after the save.
     assert [pause_s >= 0.4 for pause_s in pauses] == [True, False, False, True]
