--- a/pistachioglade/jobs/_cleaner.py
+++ b/pistachioglade/jobs/_cleaner.py
@@ -70,7 +70,7 @@
             part += 1
         for kind in (RecordKind.END, RecordKind.OWNER, RecordKind.SUBMISSION):
             await self._delete(JOB_KIND, state.id, kind)
-        self._log.info("job-forgotten", job=state.id, batches=number)
+        self._log.info("job-removed", job=state.id, batches=number)
 
     async def _delete(
         self, store_kind: str, job_id: str, kind: RecordKind, number: int = 0
--- a/pistachioglade/jobs/_reader.py
+++ b/pistachioglade/jobs/_reader.py
@@ -194,7 +194,7 @@
         try:
             fields = joined_fields(state.submission, [answer.text])
         except ValueError as error:
-            self._log.warning("submission-unlike", job=state.id, reason=str(error))
+            self._log.warning("submission-mismatched", job=state.id, reason=str(error))
             return False
         if not state.is_whole:
             state.set_fields(fields)
