--- a/pistachioglade/serving/__main__.py
+++ b/pistachioglade/serving/__main__.py
@@ -1,8 +1,9 @@
 """Starts one of the serving programs: ``python3 -m pistachioglade.serving ROLE``.
 
-SIGHUP means that the settings file has changed; its default is to end the process. So
-it is ignored before anything else is imported, which takes most of the start, and the
-program's own handler follows: a file that changes meanwhile is read all the same.
+SIGHUP means that the settings file has changed, but its default action ends the
+process. SIGHUP is therefore ignored before the other imports, which take most of the
+start, until the program installs its handler. A change of the file during the start is
+still noticed by the regular checks.
 """
 
 import signal
--- a/pistachioglade/serving/_engine_program.py
+++ b/pistachioglade/serving/_engine_program.py
@@ -1,4 +1,4 @@
-"""The program beside a model engine, which gives it its orders while it lives."""
+"""The engine program, which runs beside a model engine and sends its load orders."""
 
 from __future__ import annotations
 
@@ -29,26 +29,28 @@
 from ._secret import SHARED_SECRET
 from ._settings_watch import SettingsWatch
 
-#: Time between two looks at the named versions; an entry tells them sooner.
-_VERSIONS_S: Final = 2.0
-#: Time between two looks at an engine that is behind or being loaded.
-_LOOK_S: Final = 0.2
-#: Time between two looks at an engine that is up to date; an engine that restarted
-#: behind an order shows itself by then. A report on its own machine is free.
-_IDLE_LOOK_S: Final = 2.0
-#: Longest pause behind a refused lease.
+#: Time between two reads of the named versions. An entry announces them sooner.
+_VERSIONS_INTERVAL_S: Final = 2.0
+#: Time between two checks of an engine that is behind or loading weights.
+_BUSY_INTERVAL_S: Final = 0.2
+#: Time between two checks of an engine that is up to date. A check finds an engine that
+#: has restarted after an order. Reading a report on the same machine costs nothing.
+_IDLE_INTERVAL_S: Final = 2.0
+#: Longest pause after a refused lease.
 _LONGEST_PAUSE_S: Final = 1.0
-#: Time for which an engine's place is believed: engines come and go in seconds, and
-#: two that load out of turn for once cost one paid load.
-_RANK_S: Final = 4.0
+#: Time for which the rank of an engine is valid. Engines come and go within seconds;
+#: two engines that load out of turn once cost one paid load.
+_RANK_VALIDITY_S: Final = 4.0
 
 
 def _pause_s(step: OrderStep) -> float:
-    usual_s = _IDLE_LOOK_S if step.progress is Progress.CURRENT else _LOOK_S
+    usual_s = (
+        _IDLE_INTERVAL_S if step.progress is Progress.CURRENT else _BUSY_INTERVAL_S
+    )
     return max(usual_s, min(_LONGEST_PAUSE_S, step.wait_s))
 
 
-def _pair(address: Address) -> tuple[str, int]:
+def _host_and_port(address: Address) -> tuple[str, int]:
     return address.host, address.port
 
 
@@ -60,7 +62,7 @@
     ) -> None:
         settings = watch.settings
         self._watch = watch
-        watch.on_change.append(self._follow_settings)
+        watch.on_change.append(self._apply_settings)
         assert settings.engine is not None
         self._settings = settings
         self._log = logger(__name__)
@@ -80,60 +82,61 @@
             Pool(settings.engine.host, settings.engine.port),
             settings.node,
             lease,
-            self._rank,
+            self._current_rank,
             policy.uses(Mechanism.SKIPPED_VERSIONS),
         )
         identity = Identity(settings.node, SHARED_SECRET)
         self._links = LinkServer(identity, self._answer)
         self._last_rank = 0
         self._ranked_s = float("-inf")
-        # When each engine of the upstream was last listed, by its address.
-        self._places_s: dict[str, float] = {}
-        self._has_news = asyncio.Event()
+        # Monotonic time at which each engine of the upstream was last listed, in
+        # seconds, by address.
+        self._last_listed_s: dict[str, float] = {}
+        self._has_new_version = asyncio.Event()
         self._is_leaving = asyncio.Event()
-        # Work that is given up ends the process in order: the platform starts it anew.
+        # A task that is given up stops the process in order; the platform restarts it.
         self._supervisor = Supervisor(metrics, self._is_leaving.set)
 
     async def _read_versions(self) -> None:
-        """Read all named versions, now and then.
+        """Read all named versions at intervals, forever.
 
-        An entry that watches them tells of each at once. This is for what its word
-        does not reach, so a list that may be old will do, at a tenth of the price.
+        An entry that watches the versions announces each at once. The reads cover lost
+        announcements, so a list that may be stale suffices, at a tenth of the price.
         """
         while True:
             page = await self._store.page(names.VERSION_KIND, "", may_be_old=True)
             if not isinstance(page, Refusal):
                 for entry in page.entries:
-                    self._take_entry(entry)
-            await asyncio.sleep(_VERSIONS_S)
+                    self._apply_entry(entry)
+            await asyncio.sleep(_VERSIONS_INTERVAL_S)
 
-    def _take_entry(self, entry: Entry) -> None:
+    def _apply_entry(self, entry: Entry) -> None:
         named = decode_version(entry.value)
         if isinstance(named, Refusal):
             self._log.error("version-refused", reason=named.reason)
             return
-        self._take_version(*named, source="store")
+        self._apply_version(*named, source="store")
 
     async def _answer(self, message: Any, peer: Peer) -> Any:
-        """Answer an entry that tells of a version, or asks whether this lives."""
+        """Answer an entry that announces a version or probes this program."""
         if isinstance(message, Probe):
             return Acknowledged()
         if not isinstance(message, VersionNamed):
             return refuse(ErrorKind.BAD_REQUEST, f"not for engines: {message!r:.80}")
-        self._take_version(message.model, message.version, source=peer.node)
+        self._apply_version(message.model, message.version, source=peer.node)
         return Acknowledged()
 
-    def _take_version(self, model: str, version: int, source: str) -> None:
+    def _apply_version(self, model: str, version: int, source: str) -> None:
         if self._orders.want(model, version):
             self._log.info("version-named", model=model, version=version, source=source)
-            self._has_news.set()
+            self._has_new_version.set()
 
     async def run(self) -> None:
-        """Follow the trainers until SIGTERM."""
+        """Order the versions that trainers name until SIGTERM."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._is_leaving.set)
-        loop.add_signal_handler(signal.SIGHUP, self._watch.signal)
-        self._start_work()
+        loop.add_signal_handler(signal.SIGHUP, self._watch.request_reload)
+        self._start_tasks()
         address = f"{self._settings.host}:{self._settings.internal_port}"
         await self._links.start(address)
         self._log.info("started", program="engine", engine=str(self._settings.engine))
@@ -141,46 +144,48 @@
         self._supervisor.stop()
         self._log.info("stopped", program="engine")
 
-    def _start_work(self) -> None:
-        """Start all that the program lives by, each under its name."""
+    def _start_tasks(self) -> None:
+        """Start every background task of the program, each under its own name."""
         self._supervisor.start("versions", self._read_versions)
-        self._supervisor.start("engine", self._follow)
+        self._supervisor.start("engine", self._follow_orders)
         self._supervisor.start("settings", self._watch.run)
 
-    def _follow_settings(self, settings: ProcessSettings) -> None:
+    def _apply_settings(self, settings: ProcessSettings) -> None:
         self._settings = settings
         self._store.move_to(settings.store.host, settings.store.port)
 
-    async def _follow(self) -> None:
+    async def _follow_orders(self) -> None:
         while True:
             step = await self._orders.step()
-            self._has_news.clear()
+            self._has_new_version.clear()
             try:
                 async with asyncio.timeout(_pause_s(step)):
-                    await self._has_news.wait()
+                    await self._has_new_version.wait()
             except TimeoutError:
                 continue
 
-    async def _rank(self) -> int:
-        """Return this engine's place in its upstream, as of some seconds ago."""
+    async def _current_rank(self) -> int:
+        """Return this engine's rank in its upstream, possibly some seconds old."""
         now_s = asyncio.get_running_loop().time()
-        if now_s - self._ranked_s < _RANK_S:
+        if now_s - self._ranked_s < _RANK_VALIDITY_S:
             return self._last_rank
         page = await self._store.page(names.INSTANCE_KIND, "", may_be_old=True)
         if isinstance(page, Refusal):
             return self._last_rank
-        read = [decode_instance(entry.name, entry.value) for entry in page.entries]
-        listed = [item for item in read if isinstance(item, Instance)]
+        decoded = [decode_instance(entry.name, entry.value) for entry in page.entries]
+        listed = [item for item in decoded if isinstance(item, Instance)]
         engine = self._settings.engine
         assert engine is not None
-        own = [item for item in listed if (item.host, item.port) == _pair(engine)]
-        if own:
+        own_instances = [
+            item for item in listed if (item.host, item.port) == _host_and_port(engine)
+        ]
+        if own_instances:
             peers = [
                 f"{item.host}:{item.port}"
                 for item in listed
-                if item.upstream == own[0].upstream
+                if item.upstream == own_instances[0].upstream
             ]
-            self._places_s = remembered_places(self._places_s, peers, now_s)
-            self._last_rank = rank_of(str(engine), self._places_s)
+            self._last_listed_s = remembered_places(self._last_listed_s, peers, now_s)
+            self._last_rank = rank_of(str(engine), self._last_listed_s)
             self._ranked_s = now_s
         return self._last_rank
--- a/pistachioglade/serving/_entry_gauges.py
+++ b/pistachioglade/serving/_entry_gauges.py
@@ -1,4 +1,4 @@
-"""Gauges of an entry, evaluated when its metrics are requested."""
+"""Gauges of an entry, evaluated when the entry's metrics are requested."""
 
 from __future__ import annotations
 
--- a/pistachioglade/serving/_entry_program.py
+++ b/pistachioglade/serving/_entry_program.py
@@ -1,4 +1,4 @@
-"""The program in front of callers: composition root and life of the process."""
+"""The entry program, which serves callers: its composition root and lifecycle."""
 
 from __future__ import annotations
 
@@ -40,45 +40,46 @@
 from ._peers import Peers
 from ._secret import SHARED_SECRET
 from ._settings_watch import SettingsWatch
-from ._store_ways import StoreWays
-from ._version_announcer import VersionAnnouncer, is_attended, tell_attendant
+from ._store_ways import StoreRelays
+from ._version_announcer import VersionAnnouncer, is_program_alive, notify_fallback
 from ._watch_relays import WatchRelays
 
-#: Time in which changes of the configuration are gathered; they have seconds to come
-#: into force.
+#: Delay between watches of the configuration, so that one watch returns several
+#: changes. A change may take seconds to come into force.
 _CONFIGURATIONS_GATHER_S: Final = 0.3
-#: Part of the time for which a leaving instance serves in which changes of the list of
-#: instances are gathered: each load of weights changes it. The rest is left to the
-#: watch, which takes a few tenths on the slowest days.
-_INSTANCES_GATHER_PART: Final = 0.6
-#: The same where jobs run, in seconds: those want to know sooner who has loaded.
-_INSTANCES_GATHER_AT_HOME_S: Final = 0.4
-#: Time in which submissions, owners and ends of jobs are gathered. Owners are told at
-#: once over links; the watch is for what those lose.
+#: Delay between watches of the instances, as a fraction of the time for which a leaving
+#: instance serves. Each load of weights changes the list. The rest of that time is left
+#: for the watch call, which takes a few tenths of a second when the store is slow.
+_INSTANCES_GATHER_FRACTION: Final = 0.6
+#: The same delay while this entry runs jobs, in seconds. Jobs need to know sooner which
+#: instances have loaded a version.
+_INSTANCES_GATHER_WITH_JOBS_S: Final = 0.4
+#: Delay between watches of submissions, owners and ends of jobs. Owners are notified
+#: over links at once; the watch covers lost notifications.
 _JOBS_GATHER_S: Final = 1.0
-#: Time between two looks at idle connections and lapsed instances.
+#: Time between two checks for idle connections and expired instances.
 _HOUSEKEEPING_S: Final = 0.25
-#: Time between two tries to give jobs away at a planned stop.
-_HAND_OVER_AGAIN_S: Final = 0.2
-#: Time after a stop's begin until idle connections are closed: the platform has taken
-#: the node out of rotation after two missed questions, one a second.
-_ROTATION_S: Final = 2.3
-#: Retries for each hundred first tries where no budget bounds them: more than any
-#: route's tries.
+#: Time between two attempts to hand over jobs at a planned stop.
+_HAND_OVER_RETRY_S: Final = 0.2
+#: Time from the start of a shutdown until idle connections are closed. The platform
+#: removes a node from rotation after two failed readiness checks, a second apart.
+_ROTATION_EXIT_S: Final = 2.3
+#: Retries per hundred first attempts where the retry budget is off: more than the
+#: attempts of any route allow.
 _UNBOUNDED_PERCENT: Final = 100_000
-#: Part of the grace period after which a stop no longer waits for requests.
-_GRACE_PART: Final = 0.8
+#: Fraction of the grace period after which a shutdown stops waiting for requests.
+_GRACE_FRACTION: Final = 0.8
 
 
 class EntryProgram:
-    """One entry."""
+    """Builds the components of one entry and runs them until SIGTERM."""
 
     def __init__(
         self, watch: SettingsWatch, metrics: Metrics, policy: Policy = FULL_POLICY
     ) -> None:
         settings = watch.settings
         self._watch = watch
-        watch.on_change.append(self._follow_settings)
+        watch.on_change.append(self._apply_settings)
         self._settings = settings
         self._log = logger(__name__)
         self._store = StoreClient(
@@ -89,7 +90,7 @@
             policy,
         )
         self._is_leaving = asyncio.Event()
-        # Work that is given up ends the process in order: the platform starts it anew.
+        # A task that is given up stops the process in order; the platform restarts it.
         self._supervisor = Supervisor(metrics, self._is_leaving.set)
         self._view = FleetView(lambda: self._store.outage_age_s, policy)
         is_bounded = policy.uses(Mechanism.RETRY_BUDGET)
@@ -135,22 +136,22 @@
             self._view,
             policy,
         )
-        self._ways = StoreWays(self._members, self._store, links, policy)
-        self._store.relays = self._ways.relays
+        self._store_relays = StoreRelays(self._members, self._store, links, policy)
+        self._store.relays = self._store_relays.relays
         self._unattended = UnattendedEngines(
             settings.node,
             boot,
             self._store,
             self._view,
-            partial(is_attended, links, settings.internal_port),
-            partial(tell_attendant, self._members, links),
-            self._members.attendant_of,
+            partial(is_program_alive, links, settings.internal_port),
+            partial(notify_fallback, self._members, links),
+            self._members.choose_fallback_entry,
             partial(self._supervisor.start, may_end=True),
             settings.lease_s,
             settings.checks_fences,
             policy,
         )
-        self._relays = WatchRelays(
+        self._watch_relays = WatchRelays(
             self._members, links, self._store, settings.drain_s, policy
         )
         self._peers = Peers(
@@ -161,27 +162,32 @@
             links,
             self._ledger,
             self._owner,
-            self._ways,
+            self._store_relays,
             self._unattended.take,
-            self._relays.answer,
+            self._watch_relays.answer,
             self._crashes,
             policy,
         )
         self._crash_records = CrashRecordStore(
             self._crashes,
             self._store,
-            self._relays.changes,
+            self._watch_relays.fetch_changes,
             self._peers.broadcast_crashes,
             lambda digest: heir_of(digest, self._members.names) == settings.node,
         )
         self._neighbour = NeighbourWatch(
-            self._members, self._store, links, self._ways, self._peers.inherit, policy
+            self._members,
+            self._store,
+            links,
+            self._store_relays,
+            self._peers.reassign_jobs,
+            policy,
         )
         self._cleaner = JobCleaner(
             self._ledger,
             self._store,
             settings.result_retention_s,
-            self._peers.answers_for,
+            self._peers.is_responsible_for,
         )
         self._versions = VersionAnnouncer(
             self._store,
@@ -193,7 +199,7 @@
             self._unattended,
             policy,
         )
-        self._owner.on_begin.append(self._versions.note_job)
+        self._owner.on_begin.append(self._versions.refresh_for_job)
         self._link_server = LinkServer(identity, self._peers.answer)
         calls = JobCalls(
             self._owner,
@@ -211,7 +217,7 @@
             names.CONFIGURATION_KIND,
             self._view.take_configuration,
             gather_s=lambda: _CONFIGURATIONS_GATHER_S,
-            follow=self._relays.changes,
+            follow=self._watch_relays.fetch_changes,
         )
         self._instances = Mirror(
             self._store,
@@ -226,16 +232,16 @@
             self._ledger.take,
             gather_s=lambda: _JOBS_GATHER_S,
             may_be_late=lambda: True,
-            follow=self._relays.changes,
+            follow=self._watch_relays.fetch_changes,
         )
-        self._relays.mirrors = {
+        self._watch_relays.mirrors = {
             names.CONFIGURATION_KIND: self._configurations,
             names.INSTANCE_KIND: self._instances,
             JOB_KIND: self._jobs,
             CRASH_KIND: self._crash_records.mirror,
         }
         self._view.on_outdated.append(self._instances.hurry)
-        self._view.on_configuration.append(self._take_limits)
+        self._view.on_configuration.append(self._apply_limits)
         self._view.on_configuration.append(self._owner.reconcile_all)
         register_gauges(
             metrics,
@@ -248,7 +254,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers may be sent here."""
+        """Whether the platform may send callers to this entry."""
         return (
             not self._is_leaving.is_set()
             and self._view.configuration is not None
@@ -258,35 +264,44 @@
         )
 
     async def _answer_readiness(self, request: Request, reply: Reply) -> None:
-        is_asked = request.path == names.READINESS_PATH
-        status = (200 if self.is_ready else 503) if is_asked else 404
+        is_readiness_path = request.path == names.READINESS_PATH
+        status = (200 if self.is_ready else 503) if is_readiness_path else 404
         reply.send(Response(status))
 
     def _instances_gather_s(self) -> float:
-        is_home = bool(self._owner.runs)
-        if is_home:
-            return _INSTANCES_GATHER_AT_HOME_S
-        is_relay = self._relays.is_relay
-        part = RELAY_GATHER_PART if is_relay else _INSTANCES_GATHER_PART
-        return part * self._settings.drain_s
+        has_jobs = bool(self._owner.runs)
+        if has_jobs:
+            return _INSTANCES_GATHER_WITH_JOBS_S
+        is_relay = self._watch_relays.is_relay
+        fraction = RELAY_GATHER_PART if is_relay else _INSTANCES_GATHER_FRACTION
+        return fraction * self._settings.drain_s
 
     async def _follow_instances(
         self, kind: str, revision: int
     ) -> EntryChanges | Refusal | None:
-        """Follow a relay, but not where jobs run: those want to know sooner."""
-        return None if self._owner.runs else await self._relays.changes(kind, revision)
+        """Follow a relay, except while jobs run here: jobs need changes sooner."""
+        return (
+            None
+            if self._owner.runs
+            else await self._watch_relays.fetch_changes(kind, revision)
+        )
 
-    def _take_limits(self) -> None:
+    def _apply_limits(self) -> None:
         configuration = self._view.configuration
         if configuration is not None:
             limits = configuration.limits
             self._callers.limits = ServerLimits(**attrs.asdict(limits))
 
-    def _start_work(self) -> None:
-        """Start all that the entry lives by, each under its name."""
+    def _start_tasks(self) -> None:
+        """Start every background task of the entry, each under its own name."""
         start = self._supervisor.start
         node = self._settings.node
-        beat = partial(self._store.beat, ENTRY_KIND, node, lambda: self._relays.beat_s)
+        store_check = partial(
+            self._store.beat,
+            ENTRY_KIND,
+            node,
+            lambda: self._watch_relays.store_check_interval_s,
+        )
         start("configurations", self._configurations.run)
         start("instances", self._instances.run)
         start("jobs", self._jobs.run)
@@ -296,17 +311,17 @@
         start("crash-record-expiry", self._crash_records.expire)
         start("versions", self._versions.mirror.run)
         start("announcements", self._versions.run)
-        start("store-beat", beat)
+        start("store-beat", store_check)
         start("enabling-jobs", self._enable_jobs, may_end=True)
-        start("enrolment", self._members.enrol, may_end=True)
+        start("enrolment", self._members.maintain_listing, may_end=True)
         start("neighbour", self._neighbour.run)
-        start("samples-running", self._peers.tell_samples)
-        start("orphans", self._peers.sweep)
-        start("store-ways", self._ways.run, may_end=True)
+        start("samples-running", self._peers.report_samples)
+        start("orphans", self._peers.reassign_orphans)
+        start("store-ways", self._store_relays.run, may_end=True)
         start("cleaner", self._cleaner.run)
         start("owner", self._owner.look_around)
         start("texts", self._owner.save_texts, may_end=True)
-        start("housekeeping", self._keep_house)
+        start("housekeeping", self._do_housekeeping)
         start("settings", self._watch.run)
 
     async def run(self) -> None:
@@ -314,30 +329,30 @@
         settings = self._settings
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._is_leaving.set)
-        loop.add_signal_handler(signal.SIGHUP, self._watch.signal)
+        loop.add_signal_handler(signal.SIGHUP, self._watch.request_reload)
         assert settings.callers is not None and settings.readiness is not None
         await self._readiness.start(settings.readiness.host, settings.readiness.port)
         await self._callers.start(settings.callers.host, settings.callers.port)
         await self._link_server.start(self._address)
-        self._start_work()
+        self._start_tasks()
         self._log.info("started", program="entry", listens=str(settings.callers))
         await self._is_leaving.wait()
-        await self._leave()
+        await self._shut_down()
 
     async def _enable_jobs(self) -> None:
-        """Run jobs once all that the store has of them is known."""
+        """Start to run jobs once all job records of the store have been read."""
         await self._jobs.is_synced.wait()
         self._owner.enable()
 
-    def _follow_settings(self, settings: ProcessSettings) -> None:
-        """Take over what a running entry can; its callers notice nothing."""
+    def _apply_settings(self, settings: ProcessSettings) -> None:
+        """Apply the settings that can change while the entry serves callers."""
         self._settings = settings
         self._store.move_to(settings.store.host, settings.store.port)
         self._store.max_object_bytes = settings.max_object_bytes
         self._cleaner.retention_s = settings.result_retention_s
         self._members.set_capacity(capacity_of(settings.cpu_cores, settings.link_mbps))
 
-    async def _keep_house(self) -> None:
+    async def _do_housekeeping(self) -> None:
         while True:
             await asyncio.sleep(_HOUSEKEEPING_S)
             now_s = asyncio.get_running_loop().time()
@@ -345,36 +360,36 @@
             self._readiness.check_time(now_s)
             self._view.expire_lapsed()
 
-    async def _hand_over(self, until_s: float) -> None:
-        """Give all jobs to other entries; what none takes runs on here meanwhile.
+    async def _hand_over_jobs(self, until_s: float) -> None:
+        """Hand over all jobs to other entries; jobs that none accepts keep running.
 
-        Where all entries stop one after the other, the next ones are back within the
-        time that callers need to notice this one's leaving.
+        In a rolling restart of all entries, the entries that stopped earlier are back
+        within the time that callers need to notice that this entry leaves.
         """
         loop = asyncio.get_running_loop()
         self._owner.disable()
-        is_done = await self._peers.hand_over()
-        if is_done:
+        is_complete = await self._peers.hand_over_jobs()
+        if is_complete:
             return
         self._owner.resume()
-        while not is_done and loop.time() < until_s:
-            await asyncio.sleep(_HAND_OVER_AGAIN_S)
-            is_done = await self._peers.hand_over()
-        if not is_done:
+        while not is_complete and loop.time() < until_s:
+            await asyncio.sleep(_HAND_OVER_RETRY_S)
+            is_complete = await self._peers.hand_over_jobs()
+        if not is_complete:
             self._log.info("jobs-kept", jobs=list(self._owner.runs))
 
-    async def _leave(self) -> None:
-        """Take no new work, answer what is here, then end."""
+    async def _shut_down(self) -> None:
+        """Refuse new work, answer the requests in progress, then return."""
         loop = asyncio.get_running_loop()
         begun_s = loop.time()
         self._log.info("stopping", program="entry", busy=self._callers.busy_count)
         self._callers.is_leaving = True
-        limit_s = begun_s + self._settings.grace_s * _GRACE_PART
+        limit_s = begun_s + self._settings.grace_s * _GRACE_FRACTION
         await asyncio.gather(
-            self._hand_over(begun_s + _ROTATION_S), self._unattended.leave()
+            self._hand_over_jobs(begun_s + _ROTATION_EXIT_S), self._unattended.leave()
         )
-        await self._members.strike_off(self._settings.node)
-        await asyncio.sleep(max(0.0, begun_s + _ROTATION_S - loop.time()))
+        await self._members.remove_entry(self._settings.node)
+        await asyncio.sleep(max(0.0, begun_s + _ROTATION_EXIT_S - loop.time()))
         self._callers.stop_listening()
         self._callers.close_idle()
         while self._callers.connections and loop.time() < limit_s:
--- a/pistachioglade/serving/_ingress.py
+++ b/pistachioglade/serving/_ingress.py
@@ -1,4 +1,4 @@
-"""Callers' requests: what each one asks for, and its answer."""
+"""Answers callers' requests: finds a request's route or job call and its handler."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 from ..platform import names, request_id
 from ._job_calls import JobCalls
 
-#: Statuses of failures whose request may have run: they promise nothing.
-_UNSURE_STATUS: Final = 504
+#: Status of a failure whose request may have run.
+_MAY_HAVE_RUN_STATUS: Final = 504
 #: Statuses that promise that a request did not and will not run.
-_PROMISES: Final = frozenset({408, 421, 429, 503})
-#: Part of a rollout route's paths that reads and ends jobs; matched on its hosts.
-_JOB_PATHS: Final = (names.JOB_PATH, names.ITEM_PATH)
+_NOT_RUN_STATUSES: Final = frozenset({408, 421, 429, 503})
+#: Path prefixes of the calls that read and end jobs.
+_JOB_PREFIXES: Final = (names.JOB_PATH, names.ITEM_PATH)
 
 _STATUSES: Final[Mapping[ErrorKind, int]] = MappingProxyType(
     {
         ErrorKind.DEADLINE_EXCEEDED: 504,
         ErrorKind.UPSTREAM_LOST: 502,
-        ErrorKind.PLATFORM_UNCERTAIN: _UNSURE_STATUS,
+        ErrorKind.PLATFORM_UNCERTAIN: _MAY_HAVE_RUN_STATUS,
     }
 )
 
 
 class Ingress:
-    """Answers callers."""
+    """Answers callers by the routes of the configuration in force."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
             answer = refusal_response(answer)
         reply.send(answer)
         took_s = asyncio.get_running_loop().time() - request.received_s
-        call = "job" if request.path.startswith(_JOB_PATHS) else "route"
+        call = "job" if request.path.startswith(_JOB_PREFIXES) else "route"
         self._metrics.request_answered(call, answer.status, took_s)
 
     async def _answer(
@@ -84,8 +84,8 @@
         if configuration is None:
             return refuse(ErrorKind.NO_CONFIG, "no configuration yet", 0.5)
         host = request.field("host") or ""
-        if request.path.startswith(_JOB_PATHS):
-            return await self._job_call(request)
+        if request.path.startswith(_JOB_PREFIXES):
+            return await self._answer_job_call(request)
         route = find_route(configuration, host, request.path)
         if route is None:
             return refuse(ErrorKind.NOT_FOUND, "no route for this host and path")
@@ -93,7 +93,7 @@
         if caller_id is None:
             return refuse(ErrorKind.BAD_REQUEST, f"{names.ATTEMPT_ID}: missing")
         if route.kind is RouteKind.ROLLOUT:
-            return await self._jobs.submit(request, caller_id, host, route)
+            return await self._jobs.submit_job(request, caller_id, host, route)
         call = self._forwarder.call_for(request, caller_id, route)
         if route.kind is RouteKind.STREAMING:
             return await self._streams.forward(call, reply)
@@ -105,31 +105,34 @@
         route = configuration and find_route(configuration, host, request.path)
         return route.name if route else None
 
-    async def _job_call(self, request: Request) -> Response | Refusal:
-        _, _, rest = request.path.partition(names.JOB_PATH)
+    async def _answer_job_call(self, request: Request) -> Response | Refusal:
+        _, _, remainder = request.path.partition(names.JOB_PATH)
         query = {name: values[0] for name, values in parse_qs(request.query).items()}
         if request.path.startswith(names.ITEM_PATH):
             job_id = request.path.removeprefix(names.ITEM_PATH)
-            return await self._jobs.body(job_id, query.get("id", ""))
+            return await self._jobs.read_body(job_id, query.get("id", ""))
         if request.method == "DELETE":
-            return await self._jobs.end(rest)
+            return await self._jobs.end_job(remainder)
         after = query.get("after", "0")
         if request.method != "GET" or not after.isdigit():
             return refuse(ErrorKind.BAD_REQUEST, f"{request.method} {request.target}")
-        return await self._jobs.read(rest, int(after), request)
+        return await self._jobs.read_results(remainder, int(after), request)
 
 
 def _job_of(request: Request) -> str | None:
     """Return the job that a call reads or ends; None for other calls."""
-    is_job_call = request.path.startswith(_JOB_PATHS)
+    is_job_call = request.path.startswith(_JOB_PREFIXES)
     return request.path.rpartition("/")[2] if is_job_call else None
 
 
 def refusal_response(refusal: Refusal) -> Response:
-    """Return the answer that a refusal becomes; it promises no more than is known."""
+    """Return the response for a refusal.
+
+    A status that promises that the request did not run is sent only if that is known.
+    """
     status = _STATUSES.get(refusal.kind, refusal.status)
-    if not refusal.did_not_run and status in _PROMISES:
-        status = _UNSURE_STATUS
+    if not refusal.did_not_run and status in _NOT_RUN_STATUSES:
+        status = _MAY_HAVE_RUN_STATUS
     wait_s = refusal.retry_after_s
     retry = (("Retry-After", f"{wait_s:g}"),) if wait_s is not None else ()
     kind = (("Content-Type", "text/plain; charset=utf-8"),)
--- a/pistachioglade/serving/_job_calls.py
+++ b/pistachioglade/serving/_job_calls.py
@@ -1,4 +1,4 @@
-"""Trainers' calls on jobs: submit, read, fetch a body, end."""
+"""Trainers' calls on jobs: submit a job, read results or a body, end a job."""
 
 from __future__ import annotations
 
@@ -33,23 +33,23 @@
 from ._members import Members
 from ._peers import Peers
 
-#: Time within which a job's acceptance is settled with the store; then the trainer
-#: hears that it is open whether it was accepted, and comes again.
-_ACCEPT_WITHIN_S: Final = 1.5
-#: Time within which the end of a job is settled with the store.
-_END_WITHIN_S: Final = 3.0
-#: Time for that until it is asked whether the job is complete: longer than an answer of
-#: a slow store.
-_END_AT_ONCE_S: Final = 0.3
-#: When a trainer comes again with a job that could not be stored: another node may
-#: take it at once.
-_RETRY_S: Final = 0.2
+#: Timeout for the writes that accept a job. After that the trainer is told that the
+#: outcome is unknown, and retries.
+_ACCEPT_TIMEOUT_S: Final = 1.5
+#: Timeout for the write of a job's end.
+_END_TIMEOUT_S: Final = 3.0
+#: Time after which a pending write of a job's end leads to a check whether the job is
+#: complete: longer than a slow store takes to answer.
+_END_CHECK_AFTER_S: Final = 0.3
+#: Time after which a trainer retries a call that the store did not settle. It is short,
+#: since another entry may be able to answer at once.
+_RETRY_AFTER_S: Final = 0.2
 
 _JSON: Final = (("Content-Type", "application/json"),)
 
 
 class JobCalls:
-    """Answers trainers from the ledger, and the store where that isn't enough."""
+    """Answers trainers' calls from the ledger, or from the store if need be."""
 
     def __init__(
         self,
@@ -69,10 +69,10 @@
         self._log = logger(__name__)
         self._tasks: set[asyncio.Task[Any]] = set()
 
-    async def submit(
+    async def submit_job(
         self, request: Request, job_id: str, host: str, route: Route
     ) -> Response | Refusal:
-        """Accept a job once; any repeat gets the same answer."""
+        """Accept a job; the call is idempotent, so repeats get the same answer."""
         if request.method != "POST":
             return refuse(ErrorKind.BAD_REQUEST, f"{request.method} on {route.name}")
         if "." in job_id or "/" in job_id:
@@ -101,19 +101,20 @@
         self._ledger.take(stored, False)
         state = self._ledger.find(job_id)
         if state is not None:
-            self._spawn(self._peers.place(state, stored))
+            self._start_notification(self._peers.deliver_job(state, stored))
         return Response(202)
 
     async def _store_submission(
         self, job: Job, route: Route, fields: Mapping[str, Any]
     ) -> Entry | Refusal:
-        """Keep a job in the store; it is accepted once its own object is there.
+        """Write a job to the store; the job is accepted once its own object exists.
 
-        Returns that object with what was sent, so that the owner needn't read it.
+        Returns that object with all submitted fields, so that the owner needn't read
+        the parts of the submission.
         """
         upstream = route.shares[0].upstream
         submission = Submission(
-            self._members.home_for(upstream, job.model, job.step),
+            self._members.choose_owner(upstream, job.model, job.step),
             self._owner.boot,
             job.host,
             job.path,
@@ -123,44 +124,47 @@
             len(job.items),
             step=job.step,
         )
-        kept, parts = split_submission(job.id, submission, self._store.max_object_bytes)
+        own_record, parts = split_submission(
+            job.id, submission, self._store.max_object_bytes
+        )
         for part in parts:
-            made = await self._store.create(
-                RESULT_KIND, part.name, {"text": part.text}, _ACCEPT_WITHIN_S
+            written = await self._store.create(
+                RESULT_KIND, part.name, {"text": part.text}, _ACCEPT_TIMEOUT_S
             )
-            if isinstance(made, Refusal):
-                # A part alone is no job, whatever became of its write.
-                reason = f"{part.name}: {made.reason}"
-                return refuse(ErrorKind.PLATFORM_UNAVAILABLE, reason, _RETRY_S)
+            if isinstance(written, Refusal):
+                # Without its own object the job is not accepted, whether or not the
+                # write of this part took effect.
+                reason = f"{part.name}: {written.reason}"
+                return refuse(ErrorKind.PLATFORM_UNAVAILABLE, reason, _RETRY_AFTER_S)
         stored = await self._store.create(
-            JOB_KIND, job.id, encode_submission(kept), _ACCEPT_WITHIN_S
+            JOB_KIND, job.id, encode_submission(own_record), _ACCEPT_TIMEOUT_S
         )
         if not isinstance(stored, Refusal):
-            sent = attrs.evolve(submission, digest=kept.digest)
-            in_force = decode_submission(stored.value)
-            if isinstance(in_force, Refusal):
-                return in_force
-            whole = rejoined(in_force, sent)
-            return attrs.evolve(stored, value=encode_submission(whole))
-        is_known = stored.kind is ErrorKind.PLATFORM_UNAVAILABLE
-        return _come_again(stored) if is_known else stored
-
-    def _spawn(self, work: Coroutine[Any, Any, object]) -> None:
-        """Tell another node of a record, without waiting for it."""
-        self._keep(asyncio.get_running_loop().create_task(work))
-
-    def _keep(self, task: asyncio.Task[Any]) -> None:
-        """Keep work until it is done, and log its fault."""
+            sent = attrs.evolve(submission, digest=own_record.digest)
+            accepted = decode_submission(stored.value)
+            if isinstance(accepted, Refusal):
+                return accepted
+            full_submission = rejoined(accepted, sent)
+            return attrs.evolve(stored, value=encode_submission(full_submission))
+        is_not_run = stored.kind is ErrorKind.PLATFORM_UNAVAILABLE
+        return _retry_later(stored) if is_not_run else stored
+
+    def _start_notification(self, work: Coroutine[Any, Any, object]) -> None:
+        """Notify another entry without waiting for its answer."""
+        self._track(asyncio.get_running_loop().create_task(work))
+
+    def _track(self, task: asyncio.Task[Any]) -> None:
+        """Hold a reference to a task until it ends, and log its exception."""
         self._tasks.add(task)
-        task.add_done_callback(self._done)
+        task.add_done_callback(self._finish_task)
 
-    def _done(self, task: asyncio.Task[Any]) -> None:
+    def _finish_task(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self._log.error("job-work-failed", exc_info=task.exception())
+            self._log.error("job-task-failed", exc_info=task.exception())
 
-    async def _find(self, job_id: str) -> JobState | Refusal:
-        """Return a job that the ledger or the store knows."""
+    async def _find_job(self, job_id: str) -> JobState | Refusal:
+        """Return a job from the ledger, or else from the store."""
         state = self._ledger.find(job_id)
         if state is None:
             if not job_id or "." in job_id or "/" in job_id:
@@ -169,34 +173,34 @@
             if isinstance(stored, Refusal):
                 if stored.kind is ErrorKind.NOT_FOUND:
                     return stored
-                return _come_again(stored)
+                return _retry_later(stored)
             self._ledger.take(stored, False)
             state = self._ledger.find(job_id)
         if state is None:
             return refuse(ErrorKind.INTERNAL, f"{job_id}: unreadable")
         return state
 
-    async def read(
+    async def read_results(
         self, job_id: str, after: int, request: Request
     ) -> Response | Refusal:
-        """Return results from a position on, held until there is one."""
-        state = await self._find(job_id)
+        """Return the results from a position on; wait until there is one."""
+        state = await self._find_job(job_id)
         if isinstance(state, Refusal):
             return state
         results = await self._reader.page(state, after, wait_s(request.fields))
         if isinstance(results, Refusal):
-            return _come_again(results)
+            return _retry_later(results)
         page = encode_results_page(state.total, after, results)
         return Response(200, _JSON, page)
 
-    async def body(self, job_id: str, item_id: str) -> Response | Refusal:
+    async def read_body(self, job_id: str, item_id: str) -> Response | Refusal:
         """Return the body of an item."""
-        state = await self._find(job_id)
+        state = await self._find_job(job_id)
         if isinstance(state, Refusal):
             return state
         missing = await self._reader.complete(state)
         if missing is not None:
-            return _come_again(missing)
+            return _retry_later(missing)
         if isinstance(state.job, Refusal):
             return state.job
         item = next((item for item in state.job.items if item.id == item_id), None)
@@ -204,21 +208,21 @@
             return refuse(ErrorKind.NOT_FOUND, f"{item_id}: no such item")
         return Response(200, (), item.body)
 
-    async def end(self, job_id: str) -> Response | Refusal:
-        """End a job; the answer follows the store's, or needs none.
+    async def end_job(self, job_id: str) -> Response | Refusal:
+        """End a job; a complete job is answered even if the store doesn't answer.
 
-        Nothing of a job runs any more whose results are all listed: its end changes
-        nothing but how long they are kept, so that its trainer goes on to train while
-        the store is away.
+        Nothing of a job is running once all its results are in the store: its end only
+        changes how long the results are kept. The trainer can thus go on to train
+        during a store outage.
         """
-        state = await self._find(job_id)
+        state = await self._find_job(job_id)
         if isinstance(state, Refusal):
             return state
         if state.is_ended:
             return Response(200)
         writing = asyncio.get_running_loop().create_task(self._store_end(state))
-        self._keep(writing)
-        await asyncio.wait((writing,), timeout=_END_AT_ONCE_S)
+        self._track(writing)
+        await asyncio.wait((writing,), timeout=_END_CHECK_AFTER_S)
         if not writing.done() or writing.result() is not None:
             is_complete = await self._reader.is_complete(state)
             if is_complete:
@@ -228,16 +232,16 @@
         return Response(200) if refusal is None else refusal
 
     async def _store_end(self, state: JobState) -> Refusal | None:
-        """Write the end of a job and tell its owner."""
+        """Write the end of a job and notify its owner."""
         name = str(RecordName(state.id, RecordKind.END))
-        stored = await self._store.create(JOB_KIND, name, {}, _END_WITHIN_S)
+        stored = await self._store.create(JOB_KIND, name, {}, _END_TIMEOUT_S)
         if isinstance(stored, Refusal):
             return stored
         self._ledger.take(stored, False)
-        self._spawn(self._peers.tell_owner(state.owner, stored))
+        self._start_notification(self._peers.notify_owner(state.owner, stored))
         self._log.info("job-ended", job=state.id, results=len(state.results))
         return None
 
 
-def _come_again(refusal: Refusal) -> Refusal:
-    return refuse(ErrorKind.PLATFORM_UNAVAILABLE, refusal.reason, _RETRY_S)
+def _retry_later(refusal: Refusal) -> Refusal:
+    return refuse(ErrorKind.PLATFORM_UNAVAILABLE, refusal.reason, _RETRY_AFTER_S)
--- a/pistachioglade/serving/_members.py
+++ b/pistachioglade/serving/_members.py
@@ -1,4 +1,4 @@
-"""The list of entries: this one on it, the others, and which runs new jobs."""
+"""Keeps this entry on the list of entries, and chooses the owners of new jobs."""
 
 from __future__ import annotations
 
@@ -24,30 +24,30 @@
 from ..platform import Entry
 from ..store import Mirror, StoreClient
 
-#: Kind under which entries list themselves.
+#: Kind of the objects by which entries list themselves in the store.
 ENTRY_KIND: Final = "pistachioglade-entries"
-#: Time in which changes of the list of entries are gathered: several follow each other
-#: when entries stop and start in turn, and probes see a death sooner.
+#: Delay between watches of the list of entries. A rolling restart changes the list
+#: several times in a row, and probes detect a lost entry sooner than the watch.
 _MEMBERS_GATHER_S: Final = 0.8
-#: Pause before a listing that failed is tried again.
-_ENROL_PAUSE_S: Final = 0.5
-#: Time for which an entry that didn't answer gets no new jobs: until its neighbour has
-#: missed three probes of it and has struck it off the list.
-_UNREACHED_S: Final = 3.0
+#: Pause before this entry's listing is checked or a failed write is retried.
+_LISTING_PAUSE_S: Final = 0.5
+#: Time for which an entry that didn't answer gets no new jobs. By then three probes by
+#: the ring neighbour have failed, and the neighbour has removed the listing.
+_UNREACHABLE_COOLDOWN_S: Final = 3.0
 
 
 @attrs.frozen
 class Listing:
-    """What an entry lists of itself."""
+    """The stored description of an entry."""
 
-    # Address of its links.
+    # Address at which the entry accepts links.
     address: str
-    # What it can bear, against other entries.
+    # Capacity for running samples, in processor cores.
     capacity: float
 
 
 def decode_listing(value: Any) -> Listing | Refusal:
-    """Return the listing in an object's value, or why there is none."""
+    """Return the listing in an object's value, or a refusal if it is unreadable."""
     fields = value if isinstance(value, Mapping) else {}
     address, capacity = fields.get("address"), fields.get("capacity")
     is_number = isinstance(capacity, int | float) and not isinstance(capacity, bool)
@@ -58,7 +58,7 @@
 
 
 class Members:
-    """Lists this entry, knows the others and chooses homes among them."""
+    """Lists this entry, knows the other entries and chooses job owners among them."""
 
     def __init__(
         self,
@@ -70,80 +70,80 @@
         view: FleetView,
         policy: Policy = FULL_POLICY,
     ) -> None:
-        self._has_homes = policy.uses(Mechanism.ONE_HOME)
-        # Name of this entry.
+        self._uses_common_owner = policy.uses(Mechanism.ONE_HOME)
+        # Node name of this entry.
         self.node = node
-        # Name of this entry as an owner of jobs, with its address.
+        # Name of this entry as an owner of jobs: node name and link address.
         self.own_name = f"{node}@{address}"
-        self._mine = {"address": address, "boot": boot, "capacity": capacity}
+        self._own_value = {"address": address, "boot": boot, "capacity": capacity}
         self._store = store
         self._view = view
         self._log = logger(__name__)
-        self._unreached_until_s: dict[str, float] = {}
-        # Entries by node, as far as their listings can be read.
+        self._cooldown_until_s: dict[str, float] = {}
+        # Readable listings of entries by node.
         self._listings: dict[str, Listing] = {}
-        # Revisions of listings that are gone, though the list here may still show them.
-        self._struck: dict[str, int] = {}
-        # Entries by node, as the store lists them.
+        # Revisions of deleted listings by node; the mirror may still contain them.
+        self._removed_revisions: dict[str, int] = {}
+        # Copy of the store's list of entries, by node.
         self.mirror = Mirror(
             store,
             ENTRY_KIND,
-            self._changed,
+            self._apply_change,
             gather_s=lambda: _MEMBERS_GATHER_S,
             may_be_late=lambda: True,
         )
-        # Set once the process stops.
+        # Whether the process is shutting down.
         self.is_leaving = False
 
     def set_capacity(self, capacity: float) -> None:
-        """Tell what this entry can bear; its listing follows."""
-        self._mine = {**self._mine, "capacity": capacity}
-
-    def _changed(self, entry: Entry, is_removed: bool) -> None:
-        read = None if is_removed else decode_listing(entry.value)
-        if isinstance(read, Refusal):
-            self._log.error("entry-refused", entry=entry.name, reason=read.reason)
-            read = None
-        if read is None:
+        """Change the capacity of this entry; the stored listing is updated later."""
+        self._own_value = {**self._own_value, "capacity": capacity}
+
+    def _apply_change(self, entry: Entry, is_removed: bool) -> None:
+        decoded = None if is_removed else decode_listing(entry.value)
+        if isinstance(decoded, Refusal):
+            self._log.error("entry-refused", entry=entry.name, reason=decoded.reason)
+            decoded = None
+        if decoded is None:
             self._listings.pop(entry.name, None)
         else:
-            self._listings[entry.name] = read
+            self._listings[entry.name] = decoded
         self._log.info("entry-gone" if is_removed else "entry-listed", entry=entry.name)
 
-    async def enrol(self) -> None:
-        """List this entry, again whenever another has struck it off."""
+    async def maintain_listing(self) -> None:
+        """Keep this entry listed, also after another entry has removed its listing."""
         await self.mirror.is_synced.wait()
         while not self.is_leaving:
-            mine = self._mine
+            own_value = self._own_value
             known = self.mirror.entries.get(self.node)
             if known is None:
-                stored = await self._store.create(ENTRY_KIND, self.node, mine, 2.0)
-            elif known.value != mine:
+                stored = await self._store.create(ENTRY_KIND, self.node, own_value, 2.0)
+            elif known.value != own_value:
                 stored = await self._store.replace(
-                    ENTRY_KIND, self.node, mine, known.revision
+                    ENTRY_KIND, self.node, own_value, known.revision
                 )
             else:
-                await asyncio.sleep(_ENROL_PAUSE_S)
+                await asyncio.sleep(_LISTING_PAUSE_S)
                 continue
             if isinstance(stored, Entry):
                 self.mirror.put(stored)
             else:
-                await asyncio.sleep(_ENROL_PAUSE_S)
+                await asyncio.sleep(_LISTING_PAUSE_S)
 
-    async def strike_off(self, node: str) -> None:
-        """Take an entry off the list, if it hasn't listed itself anew meanwhile."""
+    async def remove_entry(self, node: str) -> None:
+        """Remove an entry from the list, unless the entry has listed itself anew."""
         known = self.mirror.entries.get(node)
-        if known is None or self._struck.get(node) == known.revision:
+        if known is None or self._removed_revisions.get(node) == known.revision:
             return
         refusal = await self._store.delete(ENTRY_KIND, node, known.revision)
         if refusal is None or refusal.kind in (ErrorKind.NOT_FOUND, ErrorKind.CONFLICT):
-            self._struck[node] = known.revision
+            self._removed_revisions[node] = known.revision
         else:
-            self._log.info("entry-not-struck-off", entry=node, reason=refusal.reason)
+            self._log.info("entry-not-removed", entry=node, reason=refusal.reason)
 
     @property
     def names(self) -> tuple[str, ...]:
-        """The nodes on the list."""
+        """The node names of all listed entries."""
         return tuple(self._listings)
 
     @property
@@ -157,63 +157,67 @@
         return "" if listing is None else listing.address
 
     def capacity_of_node(self, node: str) -> float:
-        """Return what an entry can bear, in cores; 0 if it isn't listed."""
+        """Return the capacity of an entry in cores; 0 if it isn't listed."""
         listing = self._listings.get(node)
         return 0.0 if listing is None else listing.capacity
 
-    def note_unreached(self, node: str) -> None:
-        """Give an entry that didn't answer no new jobs for a while."""
+    def record_unreachable(self, node: str) -> None:
+        """Exclude an entry that didn't answer from new jobs for a cooldown."""
         now_s = asyncio.get_running_loop().time()
-        self._unreached_until_s[node] = now_s + _UNREACHED_S
+        self._cooldown_until_s[node] = now_s + _UNREACHABLE_COOLDOWN_S
 
-    def note_reached(self, node: str) -> None:
-        """Forget that an entry didn't answer."""
-        self._unreached_until_s.pop(node, None)
+    def record_reachable(self, node: str) -> None:
+        """End the cooldown of an entry, since the entry has answered."""
+        self._cooldown_until_s.pop(node, None)
 
-    def _is_reached(self, node: str) -> bool:
+    def _is_reachable(self, node: str) -> bool:
         now_s = asyncio.get_running_loop().time()
-        return now_s >= self._unreached_until_s.get(node, now_s)
+        return now_s >= self._cooldown_until_s.get(node, now_s)
 
-    def _homes(self, upstream: str) -> tuple[str, ...]:
+    def _owner_candidates(self, upstream: str) -> tuple[str, ...]:
         capacities = {
             name: listing.capacity
             for name, listing in self._listings.items()
-            if self._is_reached(name) and not (self.is_leaving and name == self.node)
+            if self._is_reachable(name) and not (self.is_leaving and name == self.node)
         }
         slots = sum(item.slots for item in self._view.open_instances(upstream))
         return homes_of(upstream, slots, capacities)
 
-    def home_for(self, upstream: str, model: str, step: int) -> str:
-        """Return the owner's name for a new job: this entry if in doubt."""
-        if not self._has_homes:
+    def choose_owner(self, upstream: str, model: str, step: int) -> str:
+        """Return the owner's name for a new job; this entry if none can be chosen."""
+        if not self._uses_common_owner:
             return self.own_name
         configuration = self._view.configuration
         known = configuration.upstreams.get(upstream) if configuration else None
         models = sorted(known.models) if known else []
-        home = home_of(self._homes(upstream), models, model, step)
-        if home is None:
+        owner = home_of(self._owner_candidates(upstream), models, model, step)
+        if owner is None:
             return self.own_name
-        return f"{home}@{self.address_of_node(home)}"
+        return f"{owner}@{self.address_of_node(owner)}"
 
     def engines_of_others(self, upstream: str) -> frozenset[str]:
-        """Return the ids of the engines that other homes of an upstream prefer."""
+        """Return the ids of engines that other owners of an upstream's jobs prefer."""
         engines = {
             f"{item.host}:{item.port}": item.id
             for item in self._view.open_instances(upstream)
         }
-        others = engines_of_others(self.node, self._homes(upstream), engines)
+        others = engines_of_others(self.node, self._owner_candidates(upstream), engines)
         return frozenset(engines[address] for address in others)
 
-    def attendant_of(self, instance: Instance) -> str:
-        """Return the entry that orders an engine which no process beside it orders."""
-        reached = (
+    def choose_fallback_entry(self, instance: Instance) -> str:
+        """Return the fallback entry of an engine.
+
+        The fallback entry sends load orders to an engine whose own engine program can't
+        be reached.
+        """
+        reachable = (
             name
             for name in self._listings
-            if self._is_reached(name) and not (self.is_leaving and name == self.node)
+            if self._is_reachable(name) and not (self.is_leaving and name == self.node)
         )
         address = f"{instance.host}:{instance.port}"
-        return attendant_of(address, reached) or self.node
+        return attendant_of(address, reachable) or self.node
 
-    def is_home(self, upstream: str, model: str) -> bool:
+    def is_announcer(self, upstream: str, model: str) -> bool:
         """Whether this entry announces a model's versions."""
-        return self.home_for(upstream, model, 0) == self.own_name
+        return self.choose_owner(upstream, model, 0) == self.own_name
--- a/pistachioglade/serving/_peers.py
+++ b/pistachioglade/serving/_peers.py
@@ -1,4 +1,4 @@
-"""The other entries: their list, what they ask, and what becomes of their jobs."""
+"""Answers the other entries' messages and moves jobs between entries."""
 
 from __future__ import annotations
 
@@ -56,27 +56,28 @@
 from ..quarantine import CrashLedger
 from ..store import StoreClient
 from ._members import ENTRY_KIND, Members
-from ._store_ways import StoreWays
+from ._store_ways import StoreRelays
 
-#: Pause between two looks at jobs whose owner is gone.
-_SWEEP_S: Final = 0.5
-#: Time for which a job's owner has to be missing from the list before its heir acts:
-#: an entry that starts again lists itself within a second.
+#: Time between two checks for jobs whose owner is not listed.
+_ORPHAN_CHECK_S: Final = 0.5
+#: Time for which a job's owner has to be missing from the list of entries before its
+#: successor reassigns the job. A restarted entry lists itself within a second.
 _ORPHAN_AFTER_S: Final = 1.5
-#: Time within which a takeover is written: through an outage of the store of some
-#: seconds, so that the job goes on with the store's first answer.
-_TAKE_OVER_WITHIN_S: Final = 5.0
-#: Time for a look at the store before a job is refused for want of it; the accepting
-#: entry waits PROBE_TIMEOUT_S for the answer.
-_LOOK_S: Final = 0.3
-#: Time between two reports of running samples to other owners.
-_TELL_SAMPLES_S: Final = 0.25
-#: Homes that a new job is offered to before it is left to its owner's heir.
-_PLACE_TRIES: Final = 3
+#: Timeout for the write of a job's new owner. The write is retried through a store
+#: outage of a few seconds, so that the job continues with the store's first answer.
+_OWNER_WRITE_TIMEOUT_S: Final = 5.0
+#: Timeout for the read that checks the store before a job is refused because the store
+#: can't be reached. The entry that accepted the job waits PROBE_TIMEOUT_S.
+_STORE_CHECK_TIMEOUT_S: Final = 0.3
+#: Time between two reports of running samples to the other owners.
+_REPORT_SAMPLES_S: Final = 0.25
+#: Number of candidates that are offered a job before the search for an owner ends. A
+#: new job is then left to its owner's successor.
+_OWNER_TRIES: Final = 3
 
 
 class Peers:
-    """Answers other entries, and passes jobs on."""
+    """Answers other entries, notifies job owners and reassigns jobs."""
 
     def __init__(
         self,
@@ -87,19 +88,20 @@
         links: LinkPool,
         ledger: JobLedger,
         owner: JobOwner,
-        ways: StoreWays,
-        attend: Callable[[EngineUnattended], Acknowledged | Refusal],
-        changes: Callable[[FetchChanges], Awaitable[ChangePage | Refusal]],
+        store_relays: StoreRelays,
+        accept_engine: Callable[[EngineUnattended], Acknowledged | Refusal],
+        serve_changes: Callable[[FetchChanges], Awaitable[ChangePage | Refusal]],
         crashes: CrashLedger,
         policy: Policy = FULL_POLICY,
     ) -> None:
         self._crashes = crashes
         self._policy = policy
-        self._ways = ways
-        # Takes on an engine that no process beside it orders.
-        self._attend = attend
-        # Answers entries that follow this one's copies.
-        self._changes = changes
+        self._store_relays = store_relays
+        # Accepts an engine whose engine program can't be reached: this entry then sends
+        # the engine's load orders.
+        self._accept_engine = accept_engine
+        # Answers entries that follow this entry's copies of the store's kinds.
+        self._serve_changes = serve_changes
         self._members = members
         self._view = view
         self._boot = boot
@@ -108,12 +110,13 @@
         self._ledger = ledger
         self._owner = owner
         self._log = logger(__name__)
+        # When a job's owner was first found missing, by job id; monotonic, in seconds.
         self._orphaned_s: dict[str, float] = {}
 
     def _now_s(self) -> float:
         return asyncio.get_running_loop().time()
 
-    # Questions of other entries.
+    # Messages of other entries.
 
     async def answer(self, message: Any, peer: Peer) -> Any:
         """Answer one message."""
@@ -124,87 +127,93 @@
         return refuse(ErrorKind.BAD_REQUEST, f"not for entries: {message!r:.80}")
 
     @_dispatch.register
-    async def _probe(self, message: Probe) -> ProbeAnswer:
+    async def _answer_probe(self, message: Probe) -> ProbeAnswer:
         return ProbeAnswer(self._boot, self._store.age_s, self._store.is_reached)
 
     @_dispatch.register
-    async def _ask_home(self, message: AskHome) -> HomeAnswer:
+    async def _answer_candidate_check(self, message: AskHome) -> HomeAnswer:
         return HomeAnswer(await self._can_take_job())
 
     @_dispatch.register
-    async def _results(self, message: FetchResults) -> ResultPage:
+    async def _answer_results(self, message: FetchResults) -> ResultPage:
         state = self._ledger.find(message.job_id)
         if state is None:
             return ResultPage((), False)
         if message.job_id in self._owner.runs:
             await state.wait_for_more(message.after, message.wait_s)
-        # What is known here stands in the store; only a run knows that there's no more.
+        # Every result known here is in the store as well. Only the run of a job knows
+        # that there are no further results yet.
         is_running = message.job_id in self._owner.runs
         is_last = len(state.results) == state.total
         return ResultPage(state.page(message.after), is_running or is_last)
 
     @_dispatch.register
-    async def _sent(self, message: FetchSent) -> SentFields:
+    async def _answer_sent_fields(self, message: FetchSent) -> SentFields:
         state = self._ledger.find(message.job_id)
         if state is None or state.submission is None or not state.is_whole:
             return SentFields("")
         return SentFields(sent_text(state.submission))
 
     @_dispatch.register
-    async def _stored(self, message: StoredRecord) -> Acknowledged | Refusal:
+    async def _accept_record(self, message: StoredRecord) -> Acknowledged | Refusal:
         name = parse_name(message.name)
         is_job = name is not None and name.kind is RecordKind.SUBMISSION
-        is_for_here = is_job and message.value.get("owner") == self._owner.name
-        if is_for_here and not await self._can_take_job():
+        is_own_job = is_job and message.value.get("owner") == self._owner.name
+        if is_own_job and not await self._can_take_job():
             return refuse(ErrorKind.PLATFORM_UNAVAILABLE, "takes no jobs now")
         entry = Entry(message.name, message.revision, message.value, None)
         self._ledger.take(entry, False)
         return Acknowledged()
 
     async def _can_take_job(self) -> bool:
-        """Whether a job may run here, by a look at the store if none is fresh.
+        """Whether a job may run here; reads the store if its last answer is old.
 
-        An entry that is cut off from the store can start samples and list none: its
-        neighbour takes each job from it a second later, and its samples start anew.
+        An entry that is cut off from the store can start samples, but can't store their
+        results. Its ring neighbour reassigns each of its jobs a second later, and the
+        samples start from the beginning.
         """
         if self._members.is_leaving:
             return False
         if not self._policy.uses(Mechanism.READY_HOMES):
             return True
         if not is_store_fresh(self._store.age_s):
-            await self._store.look(ENTRY_KIND, self._members.node, _LOOK_S)
+            await self._store.look(
+                ENTRY_KIND, self._members.node, _STORE_CHECK_TIMEOUT_S
+            )
         return is_store_fresh(self._store.age_s)
 
     @_dispatch.register
-    async def _samples(self, message: SamplesRunning) -> Acknowledged:
+    async def _record_samples(self, message: SamplesRunning) -> Acknowledged:
         self._view.note_samples(message.owner, message.by_engine)
         return Acknowledged()
 
-    async def tell_samples(self) -> None:
-        """Tell other owners of the samples that run from here, for good."""
+    async def report_samples(self) -> None:
+        """Report this entry's running samples to the other owners, forever."""
         while True:
-            await asyncio.sleep(_TELL_SAMPLES_S)
-            fellows = self._owner.fellow_owners() if self._owner.runs else set()
-            if not fellows:
+            await asyncio.sleep(_REPORT_SAMPLES_S)
+            co_owners = self._owner.fellow_owners() if self._owner.runs else set()
+            if not co_owners:
                 continue
             message = SamplesRunning(self._owner.name, self._owner.samples_by_engine())
             await asyncio.gather(
                 *(
-                    self._links.call(address_of(owner), message, _TELL_SAMPLES_S)
-                    for owner in fellows
+                    self._links.call(address_of(owner), message, _REPORT_SAMPLES_S)
+                    for owner in co_owners
                 )
             )
 
     @_dispatch.register
-    async def _texts(self, message: FetchTexts) -> SampleTexts:
+    async def _answer_texts(self, message: FetchTexts) -> SampleTexts:
         return self._owner.texts(message.job_id)
 
     @_dispatch.register
-    async def _engine(self, message: EngineUnattended) -> Acknowledged | Refusal:
-        return self._attend(message)
+    async def _answer_unattended_engine(
+        self, message: EngineUnattended
+    ) -> Acknowledged | Refusal:
+        return self._accept_engine(message)
 
     @_dispatch.register
-    async def _crashed(self, message: InstancesCrashed) -> Acknowledged:
+    async def _record_crashes(self, message: InstancesCrashed) -> Acknowledged:
         self._crashes.note_reported(message.request_digest, message.instances)
         return Acknowledged()
 
@@ -222,95 +231,102 @@
         )
 
     @_dispatch.register
-    async def _follower(self, message: FetchChanges) -> ChangePage | Refusal:
-        return await self._changes(message)
+    async def _answer_follower(self, message: FetchChanges) -> ChangePage | Refusal:
+        return await self._serve_changes(message)
 
     @_dispatch.register
-    async def _relay(self, message: RelayCall) -> RelayAnswer | Refusal:
-        return await self._ways.answer(message)
+    async def _relay_call(self, message: RelayCall) -> RelayAnswer | Refusal:
+        return await self._store_relays.answer(message)
 
-    async def tell_owner(self, owner: str, entry: Entry) -> bool:
-        """Tell a job's owner at once what its watch would tell it a little later.
+    async def notify_owner(self, owner: str, entry: Entry) -> bool:
+        """Send a job's owner a record that its watch would return a little later.
 
-        Returns whether it heard.
+        Returns whether the owner acknowledged the record.
         """
         if owner == self._owner.name:
             return True
         message = StoredRecord(entry.name, entry.revision, entry.value)
         answer = await self._links.call(address_of(owner), message, PROBE_TIMEOUT_S)
         if not isinstance(answer, Refusal):
-            self._members.note_reached(node_of(owner))
+            self._members.record_reachable(node_of(owner))
             return True
         self._log.info(
             "owner-not-told", owner=owner, record=entry.name, reason=answer.reason
         )
         if answer.kind is not ErrorKind.TOO_LARGE:
-            self._members.note_unreached(node_of(owner))
+            self._members.record_unreachable(node_of(owner))
         return False
 
-    async def place(self, state: JobState, entry: Entry) -> None:
-        """Tell the owner of a new job of it; one that can't be told loses the job.
+    async def deliver_job(self, state: JobState, entry: Entry) -> None:
+        """Notify the owner of a new job; choose another owner if that fails.
 
-        A step that waits for the list of entries to show a death is late by then.
+        Waiting until the list of entries shows that the owner is gone would make the
+        job's step late.
         """
         owner = state.owner
-        if await self.tell_owner(owner, entry) or state.owner != owner:
+        if await self.notify_owner(owner, entry) or state.owner != owner:
             return
         upstream = self._owner.upstream_of(state)
         if upstream is None or not state.is_open:
             return
-        for _ in range(_PLACE_TRIES):
-            home = self._members.home_for(upstream, state.model, state.step)
-            if home == owner or state.owner != owner:
+        for _ in range(_OWNER_TRIES):
+            candidate = self._members.choose_owner(upstream, state.model, state.step)
+            if candidate == owner or state.owner != owner:
                 return
-            # The new home needs the submission too; its watch may be a second late.
-            if await self.tell_owner(home, entry):
-                await self.take_over(state, home, False)
+            # The new owner needs the submission too: its watch may return the
+            # submission a second late.
+            if await self.notify_owner(candidate, entry):
+                await self.change_owner(state, candidate, False)
                 return
 
-    # Jobs of others.
+    # Jobs of other entries.
+
+    async def reassign_jobs(self, node: str, is_alive: bool) -> None:
+        """Reassign the jobs of an entry that is lost or can't reach the store.
 
-    async def inherit(self, node: str, is_alive: bool) -> None:
-        """Pass on the jobs of an entry that is lost, or lives without the store."""
-        self._members.note_unreached(node)
+        ``is_alive`` tells whether the entry still answers.
+        """
+        self._members.record_unreachable(node)
         await asyncio.gather(
             *(
-                self.pass_on(state, is_alive)
+                self.reassign_job(state, is_alive)
                 for state in tuple(self._ledger.jobs.values())
                 if state.is_open and node_of(state.owner) == node
             )
         )
 
-    async def pass_on(self, state: JobState, can_ask: bool) -> None:
-        """Give a job to the home that runs its model's other jobs by now.
+    async def reassign_job(self, state: JobState, can_ask: bool) -> None:
+        """Reassign a job to the entry that runs its model's other jobs by now.
 
-        The entry that notices a loss may be one of the small ones: jobs that it ran
-        itself began 1 to 2 s later, and beside another home's on the same engines.
+        The entry that detects a loss may be a small one. Jobs that such an entry ran
+        itself began 1 to 2 s later, and shared engines with another owner's jobs.
+
+        ``can_ask`` tells whether the earlier owner lives and can hand over texts.
         """
-        await self.take_over(state, await self._new_home(state), can_ask)
+        await self.change_owner(state, await self._choose_new_owner(state), can_ask)
 
-    async def _new_home(self, state: JobState) -> str:
-        """Return a home that answers and reaches the store; this entry without one."""
+    async def _choose_new_owner(self, state: JobState) -> str:
+        """Return an owner that answers and reaches the store; else this entry."""
         upstream = self._owner.upstream_of(state)
         if upstream is None:
             return self._owner.name
-        for _ in range(_PLACE_TRIES):
-            home = self._members.home_for(upstream, state.model, state.step)
-            if home == self._owner.name:
+        for _ in range(_OWNER_TRIES):
+            candidate = self._members.choose_owner(upstream, state.model, state.step)
+            if candidate == self._owner.name:
                 break
             answer = await self._links.call(
-                address_of(home), AskHome(), PROBE_TIMEOUT_S
+                address_of(candidate), AskHome(), PROBE_TIMEOUT_S
             )
             if isinstance(answer, HomeAnswer) and answer.takes_jobs:
-                return home
-            self._members.note_unreached(node_of(home))
+                return candidate
+            self._members.record_unreachable(node_of(candidate))
         return self._owner.name
 
-    async def sweep(self) -> None:
-        """Take over jobs whose owner isn't listed and whose heir is this entry."""
+    async def reassign_orphans(self) -> None:
+        """Reassign jobs whose owner isn't listed, if this entry is its successor."""
         await self._members.mirror.is_synced.wait()
         while True:
-            await asyncio.sleep(_SWEEP_S)
+            await asyncio.sleep(_ORPHAN_CHECK_S)
             listed = self._members.owner_names
             orphans = [
                 state
@@ -322,22 +338,22 @@
                 state.id: self._orphaned_s.get(state.id, now_s) for state in orphans
             }
             for state in orphans:
-                is_old = now_s - self._orphaned_s[state.id] > _ORPHAN_AFTER_S
-                heir = heir_of(node_of(state.owner), self._members.names)
-                if is_old and heir == self._members.node:
-                    await self.pass_on(state, False)
+                is_overdue = now_s - self._orphaned_s[state.id] > _ORPHAN_AFTER_S
+                successor = heir_of(node_of(state.owner), self._members.names)
+                if is_overdue and successor == self._members.node:
+                    await self.reassign_job(state, False)
 
-    def answers_for(self, state: JobState) -> bool:
-        """Whether this entry owns a job, or is heir of an owner that is gone."""
+    def is_responsible_for(self, state: JobState) -> bool:
+        """Whether this entry owns a job, or succeeds an owner that isn't listed."""
         owner = node_of(state.owner)
         if owner in self._members.names:
             return owner == self._members.node
         return heir_of(owner, self._members.names) == self._members.node
 
-    async def take_over(self, state: JobState, owner: str, can_ask: bool) -> None:
-        """Write a job's new owner; of two that try, the store takes one.
+    async def change_owner(self, state: JobState, owner: str, can_ask: bool) -> None:
+        """Write a job's new owner; of two concurrent writes the store accepts one.
 
-        ``can_ask`` tells whether the earlier owner lives and can hand texts over.
+        ``can_ask`` tells whether the earlier owner lives and can hand over texts.
         """
         name = str(RecordName(state.id, RecordKind.OWNER))
         value = {"owner": owner, "earlier": state.owner, "is_alive": can_ask}
@@ -346,7 +362,7 @@
             stored = await self._store.replace(JOB_KIND, name, value, revision)
         else:
             stored = await self._store.create(
-                JOB_KIND, name, value, _TAKE_OVER_WITHIN_S
+                JOB_KIND, name, value, _OWNER_WRITE_TIMEOUT_S
             )
         self._log.info(
             "job-owner-changed",
@@ -356,23 +372,26 @@
             outcome=stored.reason if isinstance(stored, Refusal) else "written",
         )
         if isinstance(stored, Entry):
-            told = {owner, state.owner, *self._members.owner_names}
+            notified = {owner, state.owner, *self._members.owner_names}
             self._ledger.take(stored, False)
-            # All entries: their readers ask the owner, and their watches are late.
-            await asyncio.gather(*(self.tell_owner(name, stored) for name in told))
+            # Every entry is notified: its readers ask the owner that it knows of, and
+            # its watch may be late.
+            await asyncio.gather(
+                *(self.notify_owner(name, stored) for name in notified)
+            )
 
-    async def hand_over(self) -> bool:
-        """Give this entry's jobs to others, as at a planned stop; return whether all.
+    async def hand_over_jobs(self) -> bool:
+        """Hand over this entry's jobs before a planned stop; return whether all went.
 
-        One that no other entry takes stays here, where its samples run on: its texts
-        would be of no use to anybody yet.
+        A job that no other entry accepts stays here and its samples keep running: no
+        other entry could use its texts yet.
         """
         self._members.is_leaving = True
         runs = tuple(self._owner.runs.values())
-        await asyncio.gather(*(self._hand_over(run.state) for run in runs))
+        await asyncio.gather(*(self._hand_over_job(run.state) for run in runs))
         return not self._owner.runs
 
-    async def _hand_over(self, state: JobState) -> None:
-        home = await self._new_home(state)
-        if home != self._owner.name:
-            await self.take_over(state, home, True)
+    async def _hand_over_job(self, state: JobState) -> None:
+        candidate = await self._choose_new_owner(state)
+        if candidate != self._owner.name:
+            await self.change_owner(state, candidate, True)
--- a/pistachioglade/serving/_secret.py
+++ b/pistachioglade/serving/_secret.py
@@ -1,7 +1,7 @@
-"""What the system's own processes prove to each other."""
+"""The secret with which the system's own processes authenticate to each other."""
 
 from typing import Final
 
-#: The platform hands out no secret; its network keeps others off the internal ports
-#: (docs/QUESTIONS.md).
+#: Empty, since the platform provides no secret. Its network keeps other processes off
+#: the internal ports (docs/QUESTIONS.md).
 SHARED_SECRET: Final = ""
--- a/pistachioglade/serving/_settings_watch.py
+++ b/pistachioglade/serving/_settings_watch.py
@@ -1,8 +1,8 @@
 """Follows the settings file of a process while it runs.
 
-The platform may rewrite the file with a SIGHUP or without any signal. What can change
-in a running process does; what can't is named in the log and waits for the next start.
-A file that can't be read or has a wrong field changes nothing.
+The platform may rewrite the file with or without sending SIGHUP. Fields that a running
+process can apply come into force; the others are logged and need a restart. A file that
+can't be loaded or has an invalid field changes nothing.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 from ..logs import logger
 from ..platform import ProcessSettings, load_settings
 
-#: Time between two looks at the file; nothing in it is urgent, and a look is one call
-#: to the kernel.
-_LOOK_S: Final = 2.0
+#: Time between two checks of the file. No setting is urgent, and a check costs one
+#: system call.
+_CHECK_INTERVAL_S: Final = 2.0
 
-#: Fields whose new values a running process takes over.
-FOLLOWED: Final = frozenset(
+#: Fields whose new values a running process applies.
+RELOADABLE_FIELDS: Final = frozenset(
     {
         "store",
         "grace_s",
@@ -36,69 +36,69 @@
 
 
 class SettingsWatch:
-    """The settings in force, and whoever wants to know of changes."""
+    """Holds the settings in force, and calls back when they change."""
 
     def __init__(self, path: Path, settings: ProcessSettings) -> None:
         self._path = path
         self._log = logger(__name__)
-        self._seen = self._stamp()
-        self._has_signal = asyncio.Event()
+        self._last_stamp = self._stamp()
+        self._is_requested = asyncio.Event()
         # The settings in force.
         self.settings = settings
         # Called with the new settings after each change.
         self.on_change: list[Callable[[ProcessSettings], None]] = []
 
     def _stamp(self) -> tuple[int, int] | None:
-        """Return what tells one content of the file from another; None if it's gone."""
+        """Return the file's modification time and size; None if there is no file."""
         try:
             status = self._path.stat()
         except OSError:
             return None
         return status.st_mtime_ns, status.st_size
 
-    def signal(self) -> None:
-        """Look at once, as after SIGHUP."""
-        self._has_signal.set()
+    def request_reload(self) -> None:
+        """Request that the file is loaded at once, as after SIGHUP."""
+        self._is_requested.set()
 
     async def run(self) -> None:
-        """Look now and then, for good."""
+        """Check the file at intervals and on request, forever."""
         while True:
             try:
-                async with asyncio.timeout(_LOOK_S):
-                    await self._has_signal.wait()
+                async with asyncio.timeout(_CHECK_INTERVAL_S):
+                    await self._is_requested.wait()
             except TimeoutError:
-                self._look()
+                self._check_file()
             else:
-                self._has_signal.clear()
+                self._is_requested.clear()
                 self._log.info("reload", source="SIGHUP")
-                self._read()
+                self._reload()
 
-    def _look(self) -> None:
+    def _check_file(self) -> None:
         stamp = self._stamp()
-        if stamp != self._seen and stamp is not None:
-            self._seen = stamp
-            self._read()
+        if stamp != self._last_stamp and stamp is not None:
+            self._last_stamp = stamp
+            self._reload()
 
-    def _read(self) -> None:
-        self._seen = self._stamp()
-        read = load_settings(self._path)
-        if isinstance(read, Refusal):
-            self._log.error("settings-refused", reason=read.reason)
+    def _reload(self) -> None:
+        self._last_stamp = self._stamp()
+        loaded = load_settings(self._path)
+        if isinstance(loaded, Refusal):
+            self._log.error("settings-refused", reason=loaded.reason)
             return
         known = attrs.asdict(self.settings, recurse=False)
         changed = {
             name
-            for name, value in attrs.asdict(read, recurse=False).items()
+            for name, value in attrs.asdict(loaded, recurse=False).items()
             if value != known[name]
         }
         if not changed:
             return
         self._log.info(
             "settings-changed",
-            in_force=sorted(changed & FOLLOWED),
-            after_restart=sorted(changed - FOLLOWED),
+            in_force=sorted(changed & RELOADABLE_FIELDS),
+            after_restart=sorted(changed - RELOADABLE_FIELDS),
         )
-        taken = {name: getattr(read, name) for name in changed & FOLLOWED}
-        self.settings = attrs.evolve(self.settings, **taken)
+        applied = {name: getattr(loaded, name) for name in changed & RELOADABLE_FIELDS}
+        self.settings = attrs.evolve(self.settings, **applied)
         for callback in self.on_change:
             callback(self.settings)
--- a/pistachioglade/serving/_start.py
+++ b/pistachioglade/serving/_start.py
@@ -1,7 +1,7 @@
-"""Settings, logs and metrics of a serving program, and its way to the event loop.
+"""Starts a serving program: settings, logs, metrics and the event loop.
 
-Plain arguments instead of click: the process starts again at every restart of its
-machine, and click alone would take a sixth of the time.
+The arguments are parsed without click. The process starts anew at every restart of its
+machine, and importing click alone would take a sixth of the start time.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from ..platform import SETTINGS_VARIABLE, ProcessSettings, load_settings
 from ._settings_watch import SettingsWatch
 
-#: Exit status for wrong usage or settings.
-_USAGE: Final = 2
+#: Exit status for invalid arguments or settings.
+_USAGE_STATUS: Final = 2
 _ROLES: Final = MappingProxyType(
     {
         "entry": ("_entry_program", "EntryProgram"),
@@ -33,27 +33,27 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Run a role until it is stopped; return the exit status."""
+    """Run the program of a role until it stops; return the exit status."""
     if len(arguments) != 1 or arguments[0] not in _ROLES:
         roles = ", ".join(_ROLES)
         print(f"usage: python3 -m pistachioglade.serving ROLE ({roles})")
-        return _USAGE
+        return _USAGE_STATUS
     path = os.environ.get(SETTINGS_VARIABLE)
     if not path:
         print(f"{SETTINGS_VARIABLE}: not set", file=sys.stderr)
-        return _USAGE
+        return _USAGE_STATUS
     settings = load_settings(Path(path))
     if isinstance(settings, Refusal):
         print(settings.reason, file=sys.stderr)
-        return _USAGE
+        return _USAGE_STATUS
     policy = parse_policy(os.environ.get(WITHOUT_VARIABLE, ""))
     if isinstance(policy, Refusal):
         print(policy.reason, file=sys.stderr)
-        return _USAGE
+        return _USAGE_STATUS
     port = os.environ.get(METRICS_PORT_VARIABLE, "")
     if port and not port.isdigit():
         print(f"{METRICS_PORT_VARIABLE}: {port!r} is not a port", file=sys.stderr)
-        return _USAGE
+        return _USAGE_STATUS
     writer = configure_bounded_logs(settings.node, arguments[0])
     metrics = Metrics()
     metrics.gauge(
@@ -77,7 +77,7 @@
 ) -> None:
     if metrics_port:
         await serve_metrics(metrics, settings.host, metrics_port)
-    # Each role imports what it needs and no more: memory is paid for.
+    # Each role imports only the modules that it needs, since memory is paid for.
     from importlib import import_module
 
     module, name = _ROLES[role]
--- a/pistachioglade/serving/_store_ways.py
+++ b/pistachioglade/serving/_store_ways.py
@@ -1,4 +1,4 @@
-"""Ways around a store that this entry can't reach: by other entries that do."""
+"""Relays for calls to the store: entries forward calls for entries cut off from it."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 from ..store import Relay, StoreClient
 from ._members import Members
 
-#: Time for an answer on the way to the store; a link to an entry that wasn't asked
+#: Timeout for a probe of a possible relay. The link to an entry that was not asked
 #: before has to be opened first.
-_ASK_S: Final = 0.3
+_PROBE_TIMEOUT_S: Final = 0.3
 
 
-class StoreWays:
-    """Knows by way of which entries the store can be called, and is such a way."""
+class StoreRelays:
+    """Finds entries that can relay calls to the store, and relays calls for others."""
 
     def __init__(
         self,
@@ -43,67 +43,67 @@
         self._members = members
         self._store = store
         self._links = links
-        self._asks_any = policy.uses(Mechanism.ANY_RELAY)
+        self._is_enabled = policy.uses(Mechanism.ANY_RELAY)
         self._log = logger(__name__)
-        # Latest word of each entry that was heard.
-        self._words: dict[str, RelayWord] = {}
-        self._has_way = False
+        # Latest report of each entry on its connection to the store, by node.
+        self._reports: dict[str, RelayWord] = {}
+        self._has_relay = False
 
-    def note(self, node: str, answer: ProbeAnswer) -> None:
-        """Take an entry's word on its way to the store."""
+    def record_answer(self, node: str, answer: ProbeAnswer) -> None:
+        """Record whether an entry reaches the store, by its answer to a probe."""
         now_s = asyncio.get_running_loop().time()
         capacity = self._members.capacity_of_node(node)
-        self._words[node] = RelayWord(now_s, answer.reaches_store, capacity)
+        self._reports[node] = RelayWord(now_s, answer.reaches_store, capacity)
 
     async def run(self) -> None:
-        """Look for ways whenever the store isn't reached, for good."""
-        if not self._asks_any:
+        """Search for relays whenever the store can't be reached, forever."""
+        if not self._is_enabled:
             return
         while True:
             await self._store.wait_for_trouble()
-            for look in count():
-                await self._look(look)
+            for attempt in count():
+                await self._probe_candidates(attempt)
                 await asyncio.sleep(RELAY_LOOK_S)
                 if self._store.is_reached:
                     break
 
-    async def _look(self, look: int) -> None:
-        had_way = bool(self.relays())
-        asked = relays_to_ask(self._members.node, self._members.names, look)
-        known = relays_to_use(self._words, asyncio.get_running_loop().time())
-        await asyncio.gather(*(self._ask(name) for name in {*asked, *known}))
-        if self.relays() and not had_way:
-            # Watches that are held on the lost way would stay there until the kernel
-            # gives it up.
+    async def _probe_candidates(self, attempt: int) -> None:
+        had_relay = bool(self.relays())
+        asked = relays_to_ask(self._members.node, self._members.names, attempt)
+        known = relays_to_use(self._reports, asyncio.get_running_loop().time())
+        await asyncio.gather(*(self._probe_entry(name) for name in {*asked, *known}))
+        if self.relays() and not had_relay:
+            # Watches in flight on the lost connection would stay there until the kernel
+            # gives the connection up.
             self._store.renew()
 
-    async def _ask(self, node: str) -> None:
+    async def _probe_entry(self, node: str) -> None:
         address = self._members.address_of_node(node)
-        answer = await self._links.call(address, Probe(), _ASK_S)
+        answer = await self._links.call(address, Probe(), _PROBE_TIMEOUT_S)
         if isinstance(answer, ProbeAnswer):
-            self.note(node, answer)
+            self.record_answer(node, answer)
 
     def relays(self) -> tuple[Relay, ...]:
-        """Return the ways that are known to work, the best one first."""
-        used = relays_to_use(self._words, asyncio.get_running_loop().time())
-        if bool(used) != self._has_way:
-            self._has_way = bool(used)
+        """Return the relays that are known to reach the store, the best one first."""
+        used = relays_to_use(self._reports, asyncio.get_running_loop().time())
+        if bool(used) != self._has_relay:
+            self._has_relay = bool(used)
             self._log.info("store-way", entries=used)
-        return tuple(partial(self._call_by, name) for name in used)
+        return tuple(partial(self._call_through, name) for name in used)
 
-    async def _call_by(
+    async def _call_through(
         self, node: str, call: StoreCall, timeout_s: float
     ) -> Response | Refusal:
         address = self._members.address_of_node(node)
-        question = RelayCall(call.method, call.target, call.body, timeout_s)
-        answer = await self._links.call(address, question, timeout_s)
+        request = RelayCall(call.method, call.target, call.body, timeout_s)
+        answer = await self._links.call(address, request, timeout_s)
         if isinstance(answer, RelayAnswer):
             return Response(answer.status, (), answer.body)
         assert isinstance(answer, Refusal)
         return answer
 
     async def answer(self, message: RelayCall) -> RelayAnswer | Refusal:
-        """Make another entry's call."""
+        """Make a call to the store for another entry."""
         call = StoreCall(message.method, message.target, message.body)
         answer = await self._store.direct(call, message.timeout_s)
         if isinstance(answer, Refusal):
--- a/pistachioglade/serving/_version_announcer.py
+++ b/pistachioglade/serving/_version_announcer.py
@@ -1,8 +1,10 @@
-"""Announces the versions that trainers name to whoever orders each engine's weights.
+"""Announces the versions that trainers name to the processes that order weight loads.
 
-The load it answers: a version each second for twenty engines, of which each would wake
-for each with a watch of its own. The home of an upstream's jobs watches for all. An
-engine without a live process beside it has an entry that attends it.
+Trainers may name a version each second for twenty engines. If each engine program
+watched the versions itself, each version would wake all of them. Instead, the entry
+that owns an upstream's jobs watches for all engines of the upstream; this entry is the
+announcer. If the engine program beside an engine can't be reached, the announcer
+notifies the engine's fallback entry, which sends the engine's load orders.
 """
 
 from __future__ import annotations
@@ -26,35 +28,38 @@
 
 _log = logger(__name__)
 
-#: Time in which named versions are gathered by an entry that announces them.
-_GATHER_S: Final = 0.2
-#: The same by one that doesn't, so that it knows them when it becomes the home.
+#: Delay between watches of named versions at an announcer.
+_GATHER_AS_ANNOUNCER_S: Final = 0.2
+#: The same delay at other entries, which need the versions once they become announcer.
 _GATHER_ELSEWHERE_S: Final = 8.0
-#: Time for an engine's process to answer; it reads the versions in the store as well.
-_TELL_TIMEOUT_S: Final = 1.0
-#: Time for the process beside an engine to show that it lives.
+#: Timeout for a notification. An engine program that misses a notification finds the
+#: version in the store.
+_NOTIFY_TIMEOUT_S: Final = 1.0
+#: Timeout for a probe of the engine program beside an engine.
 _PROBE_TIMEOUT_S: Final = 0.5
-#: Time for which the process beside an engine is not asked again.
-_UNATTENDED_S: Final = 10.0
-#: Time between two announcements to entries that attend engines.
-_AGAIN_S: Final = 2.0
+#: Cooldown of an engine program after a failed notification.
+_ENGINE_PROGRAM_COOLDOWN_S: Final = 10.0
+#: Time between two attempts to announce versions that were not acknowledged.
+_RETRY_INTERVAL_S: Final = 2.0
 
 
-async def is_attended(links: LinkPool, engine_port: int, instance: Instance) -> bool:
-    """Whether the process beside an engine lives."""
+async def is_program_alive(
+    links: LinkPool, engine_port: int, instance: Instance
+) -> bool:
+    """Whether the engine program beside an engine answers a probe."""
     address = f"{instance.host}:{engine_port}"
     answer = await links.call(address, Probe(), _PROBE_TIMEOUT_S)
     return isinstance(answer, Acknowledged)
 
 
-async def tell_attendant(
+async def notify_fallback(
     members: Members, links: LinkPool, node: str, message: EngineUnattended
 ) -> bool:
-    """Tell an entry of an engine without a process; return whether it takes it on."""
+    """Ask an entry to send an engine's load orders; return whether it accepts."""
     address = members.address_of_node(node)
     if not address:
         return False
-    answer = await links.call(address, message, _TELL_TIMEOUT_S)
+    answer = await links.call(address, message, _NOTIFY_TIMEOUT_S)
     if isinstance(answer, Refusal):
         _log.info(
             "engine-left-unattended",
@@ -68,7 +73,7 @@
 
 
 class VersionAnnouncer:
-    """Watches named versions, and announces them where this entry is the home."""
+    """Watches named versions, and announces them where this entry is announcer."""
 
     def __init__(
         self,
@@ -77,131 +82,143 @@
         members: Members,
         links: LinkPool,
         engine_port: int,
-        models_here: Callable[[], Collection[str]],
+        models_run: Callable[[], Collection[str]],
         unattended: UnattendedEngines,
         policy: Policy = FULL_POLICY,
     ) -> None:
-        self._announces = policy.uses(Mechanism.TOLD_VERSIONS)
+        self._is_enabled = policy.uses(Mechanism.TOLD_VERSIONS)
         # Models of the jobs that this entry runs.
-        self._models_here = models_here
+        self._models_run = models_run
         self._view = view
         self._members = members
         self._links = links
         self._engine_port = engine_port
         self._unattended = unattended
-        # Until when the process beside an engine counts as gone, by the engine's id.
-        self._unattended_until_s: dict[str, float] = {}
-        # Newest announced version by model.
+        # Monotonic time until which an engine program is not notified, in seconds, by
+        # the engine's id.
+        self._cooldown_until_s: dict[str, float] = {}
+        # Newest named version by model.
         self._newest: dict[str, int] = {}
-        # Newest version that the process beside an engine was told, by id and model.
-        self._told: dict[tuple[str, str], int] = {}
-        # Engines and models whose version is being told.
+        # Newest version that the engine program has acknowledged, by the engine's id
+        # and model.
+        self._acknowledged: dict[tuple[str, str], int] = {}
+        # Engine ids and models with an announcement in progress.
         self._in_progress: set[tuple[str, str]] = set()
-        # Named versions by model's object.
+        # Copy of the store's objects of named versions.
         self.mirror = Mirror(
             store,
             names.VERSION_KIND,
-            self._take,
+            self._apply_change,
             gather_s=self._gather_s,
-            may_be_late=self._may_be_late,
+            may_be_late=self._allows_delay,
         )
-        self._is_late = True
+        self._is_delayed = True
 
-    def note_job(self) -> None:
-        """Hear of versions at once from now on, since a job begins here.
+    def refresh_for_job(self) -> None:
+        """Watch versions without delay from now on, since a job begins here.
 
-        A new home that waited for its next look would tell engines seconds late.
+        Otherwise a new announcer would wait for its current watch to end, and would
+        notify engines seconds late.
         """
-        if self._is_late:
+        if self._is_delayed:
             self.mirror.hurry()
 
-    def _may_be_late(self) -> bool:
-        self._is_late = not self._is_home()
-        return self._is_late
+    def _allows_delay(self) -> bool:
+        self._is_delayed = not self._is_announcer()
+        return self._is_delayed
 
-    def _upstreams_at_home(self, model: str) -> list[str]:
+    def _announced_upstreams(self, model: str) -> list[str]:
         configuration = self._view.configuration
         if configuration is None:
             return []
-        runs_it = model in self._models_here()
+        runs_model = model in self._models_run()
         return [
             name
             for name, upstream in configuration.upstreams.items()
             if model in upstream.models
-            and (runs_it or self._members.is_home(name, model))
+            and (runs_model or self._members.is_announcer(name, model))
         ]
 
-    def _is_home(self) -> bool:
+    def _is_announcer(self) -> bool:
         """Whether this entry announces any model's versions."""
         models = (
             decoded[0]
             for entry in self.mirror.entries.values()
             if not isinstance(decoded := decode_version(entry.value), Refusal)
         )
-        return any(self._upstreams_at_home(model) for model in models)
+        return any(self._announced_upstreams(model) for model in models)
 
     def _gather_s(self) -> float:
-        return _GATHER_S if self._is_home() else _GATHER_ELSEWHERE_S
+        return _GATHER_AS_ANNOUNCER_S if self._is_announcer() else _GATHER_ELSEWHERE_S
 
-    def _take(self, entry: Entry, is_removed: bool) -> None:
+    def _apply_change(self, entry: Entry, is_removed: bool) -> None:
         named = decode_version(entry.value)
-        if is_removed or isinstance(named, Refusal) or not self._announces:
+        if is_removed or isinstance(named, Refusal) or not self._is_enabled:
             return
         model, version = named
         self._newest[model] = version
         self._announce_all()
 
     async def run(self) -> None:
-        """Announce again what hasn't reached whoever orders an engine, for good.
+        """Retry announcements that no engine program has acknowledged, forever.
 
-        An entry that attends an engine may be lost, and a home takes over from another.
+        Retries are needed since a fallback entry may be lost, and since another entry
+        may become announcer.
         """
         while True:
-            await asyncio.sleep(_AGAIN_S)
-            if self._announces:
+            await asyncio.sleep(_RETRY_INTERVAL_S)
+            if self._is_enabled:
                 self._announce_all()
 
     def _announce_all(self) -> None:
         for model, version in self._newest.items():
-            for upstream in self._upstreams_at_home(model):
+            for upstream in self._announced_upstreams(model):
                 for instance in self._view.open_instances(upstream):
-                    told = self._told.get((instance.id, model), 0)
-                    if told < version:
-                        self._begin(instance, VersionNamed(model, version))
+                    acknowledged = self._acknowledged.get((instance.id, model), 0)
+                    if acknowledged < version:
+                        self._start_announcement(instance, VersionNamed(model, version))
         known = self._view.instances
-        self._told = {key: told for key, told in self._told.items() if key[0] in known}
+        self._acknowledged = {
+            key: acknowledged
+            for key, acknowledged in self._acknowledged.items()
+            if key[0] in known
+        }
 
-    def _begin(self, instance: Instance, message: VersionNamed) -> None:
+    def _start_announcement(self, instance: Instance, message: VersionNamed) -> None:
         key = instance.id, message.model
         if key in self._in_progress:
             return
         self._in_progress.add(key)
         work = self._announce(instance, message)
         task = asyncio.get_running_loop().create_task(work)
-        task.add_done_callback(partial(self._ended, key))
+        task.add_done_callback(partial(self._finish_announcement, key))
 
-    def _ended(self, key: tuple[str, str], task: asyncio.Task[None]) -> None:
+    def _finish_announcement(
+        self, key: tuple[str, str], task: asyncio.Task[None]
+    ) -> None:
         self._in_progress.discard(key)
         if not task.cancelled() and task.exception() is not None:
             _log.error("version-not-announced", exc_info=task.exception())
 
     async def _announce(self, instance: Instance, message: VersionNamed) -> None:
-        """Tell whoever orders an engine."""
-        if await self._tell_beside(instance, message):
-            self._told[instance.id, message.model] = message.version
+        """Notify an engine program, or else the engine's fallback entry."""
+        if await self._notify_engine_program(instance, message):
+            self._acknowledged[instance.id, message.model] = message.version
         else:
-            await self._tell_attendant(instance, message)
+            await self._notify_fallback_entry(instance, message)
 
-    async def _tell_beside(self, instance: Instance, message: VersionNamed) -> bool:
+    async def _notify_engine_program(
+        self, instance: Instance, message: VersionNamed
+    ) -> bool:
         now_s = asyncio.get_running_loop().time()
-        if now_s < self._unattended_until_s.get(instance.id, now_s):
+        if now_s < self._cooldown_until_s.get(instance.id, now_s):
             return False
         address = f"{instance.host}:{self._engine_port}"
-        answer = await self._links.call(address, message, _TELL_TIMEOUT_S)
+        answer = await self._links.call(address, message, _NOTIFY_TIMEOUT_S)
         if isinstance(answer, Acknowledged):
-            self._unattended_until_s.pop(instance.id, None)
+            self._cooldown_until_s.pop(instance.id, None)
             return True
-        self._unattended_until_s[instance.id] = now_s + _UNATTENDED_S
+        self._cooldown_until_s[instance.id] = now_s + _ENGINE_PROGRAM_COOLDOWN_S
         _log.info(
             "engine-not-told",
             engine=address,
@@ -211,10 +228,12 @@
         )
         return False
 
-    async def _tell_attendant(self, instance: Instance, message: VersionNamed) -> None:
-        told = EngineUnattended(instance.id, message.model, message.version)
-        node = self._members.attendant_of(instance)
+    async def _notify_fallback_entry(
+        self, instance: Instance, message: VersionNamed
+    ) -> None:
+        request = EngineUnattended(instance.id, message.model, message.version)
+        node = self._members.choose_fallback_entry(instance)
         if node == self._members.node:
-            self._unattended.take(told)
-        elif not await tell_attendant(self._members, self._links, node, told):
-            self._members.note_unreached(node)
+            self._unattended.take(request)
+        elif not await notify_fallback(self._members, self._links, node, request):
+            self._members.record_unreachable(node)
--- a/pistachioglade/serving/_watch_relays.py
+++ b/pistachioglade/serving/_watch_relays.py
@@ -1,4 +1,4 @@
-"""Follows another entry's copies of the store's kinds, and lets others follow these."""
+"""Relays changes of the store's objects: a few entries watch, the others follow."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 from ..store import BEAT_S, Mirror, StoreClient
 from ._members import Members
 
-#: Longest time for which a question is held.
+#: Longest time for which a relay holds a follower's request without changes to return.
 _LONGEST_HOLD_S: Final = 2.0
 
 
 class WatchRelays:
-    """Asks a relay for changes, or answers as one."""
+    """Fetches changes from a relay, or answers followers if this entry is a relay."""
 
     def __init__(
         self,
@@ -45,66 +45,75 @@
         self._store = store
         self._hold_s = min(_LONGEST_HOLD_S, RELAY_HOLD_PART * drain_s)
         self._age_limit_s = RELAY_AGE_PART * drain_s
-        self._is_used = policy.uses(Mechanism.WATCH_RELAYS)
+        self._is_enabled = policy.uses(Mechanism.WATCH_RELAYS)
         self._log = logger(__name__)
-        # Copies that others may follow, by kind.
+        # Copies of the store's objects that followers may ask for, by kind.
         self.mirrors: Mapping[str, Mirror] = {}
-        # Until when relays aren't asked.
-        self._rests_until_s: dict[str, float] = {}
+        # Monotonic time until which a relay is not asked, in seconds, by node.
+        self._cooldown_until_s: dict[str, float] = {}
 
     @property
     def is_relay(self) -> bool:
-        """Whether this entry watches for others."""
-        return self._is_used and self._members.node in relays_of(self._members.names)
+        """Whether this entry watches the store for other entries."""
+        return self._is_enabled and self._members.node in relays_of(self._members.names)
 
     @property
-    def beat_s(self) -> float:
-        """Time between two looks at the store: a relay must know that it is there."""
+    def store_check_interval_s(self) -> float:
+        """Time between two checks of the store.
+
+        A relay checks more often: followers rely on its connection to the store.
+        """
         return self._age_limit_s / 2 if self.is_relay else BEAT_S
 
-    def _relay(self) -> str | None:
-        """Return the entry to follow; None where this one watches by itself."""
+    def _choose_relay(self) -> str | None:
+        """Return the relay to follow; None if this entry watches the store itself."""
         relays = relays_of(self._members.names)
-        if not self._is_used or self._members.node in relays:
+        if not self._is_enabled or self._members.node in relays:
             return None
         now_s = asyncio.get_running_loop().time()
-        awake = (
-            name for name in relays if now_s >= self._rests_until_s.get(name, now_s)
+        available = (
+            name for name in relays if now_s >= self._cooldown_until_s.get(name, now_s)
         )
-        return relay_for(self._members.node, awake)
+        return relay_for(self._members.node, available)
 
-    async def changes(self, kind: str, revision: int) -> EntryChanges | Refusal | None:
-        """Return changes as a relay tells them; None if the store has to be asked."""
-        relay = self._relay()
+    async def fetch_changes(
+        self, kind: str, revision: int
+    ) -> EntryChanges | Refusal | None:
+        """Return changes from a relay; None if the store has to be asked instead."""
+        relay = self._choose_relay()
         if relay is None:
             return None
         address = self._members.address_of_node(relay)
-        question = FetchChanges(kind, revision, self._hold_s)
-        answer = await self._links.call(address, question, self._hold_s + RELAY_SLACK_S)
+        request = FetchChanges(kind, revision, self._hold_s)
+        answer = await self._links.call(address, request, self._hold_s + RELAY_SLACK_S)
         if isinstance(answer, ChangePage):
-            return _decode(answer)
+            return _decode_changes(answer)
         assert isinstance(answer, Refusal)
         if answer.kind is ErrorKind.HISTORY_GONE:
             return answer
         now_s = asyncio.get_running_loop().time()
-        self._rests_until_s[relay] = now_s + RELAY_REST_S
+        self._cooldown_until_s[relay] = now_s + RELAY_REST_S
         self._log.info("relay-left", relay=relay, kind=kind, reason=answer.reason)
         return None
 
     async def answer(self, message: FetchChanges) -> ChangePage | Refusal:
-        """Answer an entry that follows this one."""
+        """Answer a follower with the changes after its revision."""
         mirror = self.mirrors.get(message.kind)
         if mirror is None or not self.is_relay or self._members.is_leaving:
             return refuse(ErrorKind.NOT_OWNER, f"no relay of {message.kind:.40}")
         hold_s = min(_LONGEST_HOLD_S, message.hold_s)
-        told = await mirror.log.behind(message.revision, hold_s)
+        entry_changes = await mirror.log.behind(message.revision, hold_s)
         age_s = self._store.age_s
         if age_s is None or age_s > self._age_limit_s:
             return refuse(ErrorKind.PLATFORM_UNAVAILABLE, "this relay lacks the store")
-        return told if isinstance(told, Refusal) else _encode(told)
+        return (
+            entry_changes
+            if isinstance(entry_changes, Refusal)
+            else _encode_changes(entry_changes)
+        )
 
 
-def _encode(told: EntryChanges) -> ChangePage:
+def _encode_changes(entry_changes: EntryChanges) -> ChangePage:
     records = (
         ChangeRecord(
             change.entry.name,
@@ -113,12 +122,12 @@
             change.entry.status,
             change.is_removed,
         )
-        for change in told.changes
+        for change in entry_changes.changes
     )
-    return ChangePage(tuple(records), told.revision)
+    return ChangePage(tuple(records), entry_changes.revision)
 
 
-def _decode(page: ChangePage) -> EntryChanges:
+def _decode_changes(page: ChangePage) -> EntryChanges:
     changes = (
         EntryChange(
             Entry(item.name, item.revision, item.value, item.status), item.is_removed
--- a/pistachioglade/serving/tests/test_failing_work.py
+++ b/pistachioglade/serving/tests/test_failing_work.py
@@ -1,7 +1,7 @@
-"""Each of an entry's background tasks is made to fail once, and the entry goes on.
+"""Each background task of an entry fails once, and the entry restarts the task.
 
-A task that ended left one line in the log, and the entry served on without it: by a
-list of instances that stood still, or without a look at the store.
+Guards against a failed task that leaves one line in the log while the entry serves on
+without the task: with a stale list of instances, or without checks of the store.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 from .._settings_watch import SettingsWatch
 from .test_lost_way import SETTINGS
 
-#: Time within which a change is known though the copy's task has just failed: its
-#: longest first pause, and one list.
-_KNOWN_S = 0.2
+#: Longest delay that a failure of a mirror's task adds to a change: the longest first
+#: pause of the supervisor, and one read of the list.
+_RESTART_DELAY_S = 0.2
 _TASKS = (
     "configurations",
     "instances",
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("name", _TASKS)
-def test_a_task_that_fails_is_started_again(name: str, tmp_path: Any) -> None:
+def test_a_failed_task_is_restarted(name: str, tmp_path: Any) -> None:
     async def work() -> None:
         store = ScriptedStore()
         store.put(names.INSTANCE_KIND, "i-1", instance_entry("app"))
@@ -78,26 +78,26 @@
             start(task, wrapped if task == name else inner, may_end)
 
         program._supervisor.start = start_failing  # type: ignore[method-assign]
-        program._start_work()
+        program._start_tasks()
         assert started == list(_TASKS)
         await asyncio.sleep(1.0)
         store.put(names.INSTANCE_KIND, "i-2", instance_entry("app"))
         changed_s = now_s()
         while not program._view.may_send_to("i-2"):
             await asyncio.sleep(0.01)
-        assert now_s() - changed_s < _KNOWN_S + program._instances_gather_s()
+        assert now_s() - changed_s < _RESTART_DELAY_S + program._instances_gather_s()
         await asyncio.sleep(5.0)
         assert failed == [name]
-        told = f'pistachioglade_task_failures_total{{task="{name}"}} 1.0'
-        assert told.encode() in metrics.text()
+        expected = f'pistachioglade_task_failures_total{{task="{name}"}} 1.0'
+        assert expected.encode() in metrics.text()
         assert not program._is_leaving.is_set()
         program._supervisor.stop()
 
     run_virtual(work)
 
 
-def test_work_that_keeps_failing_ends_the_entry_in_order(tmp_path: Any) -> None:
-    """It isn't ready any more, and stops as it does when it is asked to."""
+def test_a_task_that_keeps_failing_shuts_the_entry_down(tmp_path: Any) -> None:
+    """The entry stops being ready, and shuts down as after SIGTERM."""
 
     async def work() -> None:
         program = EntryProgram(SettingsWatch(tmp_path, SETTINGS), Metrics())
--- a/pistachioglade/serving/tests/test_foreign_records.py
+++ b/pistachioglade/serving/tests/test_foreign_records.py
@@ -1,4 +1,4 @@
-"""Records of ours that another writer has spoilt: nobody's work ends over them."""
+"""Stored records that another writer has made invalid: no reader fails on them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from .._members import Members
 
 _FIELDS: dict[str, Any] = {"items": [{"id": "i0", "path": "/"}]}
-_SOUND = encode_submission(Submission("a@h:1", "b", "h", "/", 0.0, _FIELDS))
+_VALID = encode_submission(Submission("a@h:1", "b", "h", "/", 0.0, _FIELDS))
 _LISTING = {"address": "h:1", "boot": "b", "capacity": 1.0}
 _VALUES = (
     st.none()
@@ -29,12 +29,14 @@
 )
 
 
-@given(st.lists(st.tuples(st.sampled_from(sorted(_SOUND)), _VALUES), max_size=3))
-def test_no_submission_ends_the_ledger(spoilt: list[tuple[str, Any]]) -> None:
+@given(st.lists(st.tuples(st.sampled_from(sorted(_VALID)), _VALUES), max_size=3))
+def test_the_ledger_survives_an_invalid_submission(
+    invalid_fields: list[tuple[str, Any]],
+) -> None:
     async def work() -> None:
         ledger = JobLedger()
-        ledger.take(Entry("job", 1, _SOUND | dict(spoilt), None), False)
-        ledger.take(Entry("other", 2, _SOUND, None), False)
+        ledger.take(Entry("job", 1, _VALID | dict(invalid_fields), None), False)
+        ledger.take(Entry("other", 2, _VALID, None), False)
         assert ledger.find("other") is not None
         for state in ledger.jobs.values():
             assert not state.submission or isinstance(state.owner, str)
@@ -47,10 +49,10 @@
     _VALUES
     | st.dictionaries(st.sampled_from(["owner", "earlier", "is_alive"]), _VALUES)
 )
-def test_no_owner_record_ends_the_ledger(value: Any) -> None:
+def test_the_ledger_ignores_an_invalid_owner_record(value: Any) -> None:
     async def work() -> None:
         ledger = JobLedger()
-        ledger.take(Entry("job", 1, _SOUND, None), False)
+        ledger.take(Entry("job", 1, _VALID, None), False)
         ledger.take(Entry("job.owner", 2, value, None), False)
         state = ledger.find("job")
         assert state is not None and state.owner == "a@h:1"
@@ -62,14 +64,14 @@
 
 
 @given(_VALUES | st.dictionaries(st.sampled_from(["writer", "start"]), _VALUES))
-def test_no_batch_raises(value: Any) -> None:
+def test_an_invalid_batch_is_refused(value: Any) -> None:
     assert isinstance(decode_batch(value), Refusal)
 
 
 @pytest.mark.parametrize(
     "value", [None, 3, "h:1", [], {}, _LISTING | {"address": 7}, {"address": "h:2"}]
 )
-def test_an_entry_without_address_is_nobodys_peer(value: Any) -> None:
+def test_an_entry_with_an_invalid_listing_is_not_listed(value: Any) -> None:
     async def work() -> None:
         client = StoreClient("store", 1)
         members = Members("me", "h:0", 1.0, "b", client, FleetView(lambda: None))
@@ -79,6 +81,6 @@
         assert members.names == ("sound",)
         assert members.owner_names == {"sound@h:1"}
         assert members.address_of_node("spoilt") == ""
-        assert members.home_for("up", "m", 0) == "sound@h:1"
+        assert members.choose_owner("up", "m", 0) == "sound@h:1"
 
     run_virtual(work)
--- a/pistachioglade/serving/tests/test_lost_way.py
+++ b/pistachioglade/serving/tests/test_lost_way.py
@@ -1,19 +1,20 @@
-"""An entry that loses its own way to the store, and the instances it sends to.
-
-What users saw: a caller's request reached an instance 12.1 s after the store had taken
-it off the list, while 2 s are allowed. All other entries had dropped it within 0.01 s.
-
-The order of events: the entry's direct way to the store fell silent; it read the store
-again 4 s later, by way of another entry; the instance left the list, unannounced; the
-entry read that and kept the instance ("instance-lapsed"), as one that an outage of the
-store had made lapse; it sent four requests there in the next 10 s, and dropped it 2.3 s
-behind the return of its direct way.
-
-The cause: the entry took the state of its own way for the state of the store. The time
-for which such an instance stays in use began anew with each direct call that failed.
-The evidence: "instance-lapsed" and fresh configurations in the same log, with no call
-that the store answered directly between them; "instance-gone" 2.6 s behind the last
-direct call that failed.
+"""An entry that loses its direct connection to the store, and the instances it uses.
+
+Guards against requests to an instance that has left the list. A caller's request
+reached an instance 12.1 s after the store had removed it from the list, while 2 s are
+allowed. All other entries had dropped the instance within 0.01 s.
+
+How the failure came about: the entry's direct connection to the store fell silent, and
+4 s later the entry read the store through a relay. The instance left the list without
+notice. The entry read the change, but kept the instance in use ("instance-lapsed"), as
+if an outage of the store had made the instance lapse. The entry sent four requests to
+the instance in the next 10 s, and dropped the instance 2.3 s after the direct
+connection was back.
+
+The cause: the entry took the state of its own connection for the state of the store.
+Each direct call that failed restarted the time for which a lapsed instance stays in
+use. The log showed "instance-lapsed" and fresh configurations with no directly answered
+call between them, and "instance-gone" 2.6 s after the last direct call that failed.
 """
 
 from __future__ import annotations
@@ -44,12 +45,12 @@
 from .._entry_program import EntryProgram
 from .._settings_watch import SettingsWatch
 
-#: Time for which a leaving instance serves, in the settings of the deployments.
+#: Time for which a leaving instance serves, as in the settings of the deployments.
 _DRAIN_S = 2.0
-#: Time behind a disruption from which a node is answerable for what it does.
-_CONTACT_S = 3.0
-#: Time behind the store's return within which entries are back that had lapsed.
-_BACK_S = 2.0
+#: Time after a disruption from which an entry is responsible for its requests.
+_RESPONSIBLE_AFTER_S = 3.0
+#: Time after an outage of the store within which lapsed instances are listed again.
+_RELISTED_WITHIN_S = 2.0
 _INSTANCE = instance_entry("app", "10.0.0.9:80")
 SETTINGS = ProcessSettings(
     node="mine",
@@ -75,18 +76,18 @@
 
 @attrs.frozen
 class _Scene:
-    """An entry with its way to the store and that of another entry."""
+    """An entry with its own connection to the store and that of a relay."""
 
     store: ScriptedStore
     program: EntryProgram
-    mine: ScriptedWay
-    theirs: ScriptedWay
+    own_connection: ScriptedWay
+    relay_connection: ScriptedWay
 
     def is_in_use(self) -> bool:
         return self.program._view.may_send_to("i-1")
 
     async def is_used_between(self, begin_s: float, end_s: float) -> list[float]:
-        """Return the moments of a span at which the instance gets requests."""
+        """Return the times of a span at which the instance may get requests."""
         used: list[float] = []
         await until(begin_s)
         while now_s() < end_s:
@@ -96,8 +97,8 @@
         return used
 
 
-def _link(way: ScriptedWay) -> Callable[[str, Any, float], Awaitable[Any]]:
-    """Return the calls of a link to an entry with a way of its own."""
+def _link(connection: ScriptedWay) -> Callable[[str, Any, float], Awaitable[Any]]:
+    """Return the call function of a link to a relay with its own connection."""
     reached = True
 
     async def call(address: str, message: Any, timeout_s: float) -> Any:
@@ -107,7 +108,7 @@
         if not isinstance(message, RelayCall):
             return refuse(ErrorKind.LINK_NOT_OPEN, "not played")
         try:
-            answer = await way.request(
+            answer = await connection.request(
                 message.method, message.target, (), message.body, message.timeout_s
             )
         except TimeoutError:
@@ -124,60 +125,60 @@
 async def _scene() -> AsyncIterator[_Scene]:
     store = ScriptedStore()
     store.put(names.INSTANCE_KIND, "i-1", _INSTANCE)
-    mine, theirs = ScriptedWay(store), ScriptedWay(store)
+    own_connection, relay_connection = ScriptedWay(store), ScriptedWay(store)
     program = EntryProgram(SettingsWatch(Path("-"), SETTINGS), Metrics())
-    program._store._pool = mine  # type: ignore[assignment]
-    program._ways._links.call = _link(theirs)  # type: ignore[method-assign]
+    program._store._pool = own_connection  # type: ignore[assignment]
+    program._store_relays._links.call = _link(relay_connection)  # type: ignore[method-assign]
     value = {"address": "other", "boot": "b", "capacity": 1.0}
     program._members.mirror.put(Entry("other", 1, value, None))
     work = (
         program._instances.run(),
         program._store.beat("entries", "mine"),
-        program._ways.run(),
-        program._keep_house(),
+        program._store_relays.run(),
+        program._do_housekeeping(),
     )
     tasks = [asyncio.create_task(each) for each in work]
     try:
-        yield _Scene(store, program, mine, theirs)
+        yield _Scene(store, program, own_connection, relay_connection)
     finally:
         for task in tasks:
             task.cancel()
 
 
-#: Moments at which a fault ends, against the node's own looks at the store.
+#: Offsets of the end of a fault from the entry's own checks of the store.
 _PHASES_S = tuple(number / 10 for number in range(10))
 
 
 async def _used_after_leaving(condition: Condition) -> list[float]:
-    """Return when an instance is used that left while the direct way fails."""
+    """Return when an instance is used that left while the direct connection fails."""
     async with _scene() as scene:
         await until(5.0)
         assert scene.is_in_use()
-        scene.mine.turn(condition)
+        scene.own_connection.turn(condition)
         await until(9.0)
         scene.store.remove(names.INSTANCE_KIND, "i-1")
         left_s = now_s()
         during = await scene.is_used_between(left_s + _DRAIN_S, left_s + 15.0)
-        scene.mine.turn(Condition.WHOLE)
+        scene.own_connection.turn(Condition.WHOLE)
         return during + await scene.is_used_between(left_s + 15.0, left_s + 20.0)
 
 
-async def _used_behind_cut(phase_s: float) -> list[float]:
-    """Return when an instance is used that left while no way was open at all."""
+async def _used_after_cut(phase_s: float) -> list[float]:
+    """Return when an instance is used that left while no connection worked."""
     async with _scene() as scene:
         await until(5.0)
-        for way in (scene.mine, scene.theirs):
-            way.turn(Condition.SILENT)
+        for connection in (scene.own_connection, scene.relay_connection):
+            connection.turn(Condition.SILENT)
         await until(9.0)
         scene.store.remove(names.INSTANCE_KIND, "i-1")
         await until(15.0 + phase_s)
-        for way in (scene.mine, scene.theirs):
-            way.turn(Condition.WHOLE)
-        begin_s = now_s() + _CONTACT_S
+        for connection in (scene.own_connection, scene.relay_connection):
+            connection.turn(Condition.WHOLE)
+        begin_s = now_s() + _RESPONSIBLE_AFTER_S
         return await scene.is_used_between(begin_s, begin_s + 5.0)
 
 
-def test_an_instance_that_left_gets_nothing_while_the_direct_way_fails() -> None:
+def test_an_unlisted_instance_gets_nothing_while_the_direct_connection_fails() -> None:
     conditions = (Condition.SILENT, Condition.REFUSED, Condition.CROWDED)
     used = {
         condition: run_virtual(partial(_used_after_leaving, condition))
@@ -186,11 +187,10 @@
     assert used == {key: [] for key in conditions}
 
 
-def test_one_that_left_during_a_cut_gets_nothing_soon_behind_it() -> None:
-    """Nobody could tell the entry, and it is answerable again 3 s behind the cut."""
+def test_an_instance_unlisted_during_a_cut_gets_no_requests_after_the_cut() -> None:
+    """The entry couldn't know of the change; 3 s after the cut it is responsible."""
     used = {
-        phase_s: run_virtual(partial(_used_behind_cut, phase_s))
-        for phase_s in _PHASES_S
+        phase_s: run_virtual(partial(_used_after_cut, phase_s)) for phase_s in _PHASES_S
     }
     assert used == {key: [] for key in _PHASES_S}
 
@@ -198,26 +198,30 @@
 @pytest.mark.parametrize("condition", [Condition.SILENT, Condition.REFUSED])
 @pytest.mark.parametrize("phase_s", _PHASES_S)
 @pytest.mark.parametrize("is_way_lost_before", [False, True])
-def test_one_that_lapsed_in_an_outage_stays_in_use(
+def test_an_instance_that_lapsed_in_an_outage_stays_in_use(
     condition: Condition, phase_s: float, is_way_lost_before: bool
 ) -> None:
-    """It lives, and is listed again within 2 s of the store's return."""
+    """The instance is alive, and is listed again within 2 s of the store's return."""
 
     async def work() -> None:
         async with _scene() as scene:
             await until(5.0)
             if is_way_lost_before:
-                scene.mine.turn(Condition.REFUSED)
+                scene.own_connection.turn(Condition.REFUSED)
                 await until(9.0)
-            ways = (scene.theirs,) if is_way_lost_before else (scene.mine, scene.theirs)
-            for way in ways:
-                way.turn(condition)
+            connections = (
+                (scene.relay_connection,)
+                if is_way_lost_before
+                else (scene.own_connection, scene.relay_connection)
+            )
+            for connection in connections:
+                connection.turn(condition)
             await asyncio.sleep(3.0)
             scene.store.remove(names.INSTANCE_KIND, "i-1")
             await asyncio.sleep(1.0 + phase_s)
-            for way in ways:
-                way.turn(Condition.WHOLE)
-            await asyncio.sleep(_BACK_S)
+            for connection in connections:
+                connection.turn(Condition.WHOLE)
+            await asyncio.sleep(_RELISTED_WITHIN_S)
             assert scene.is_in_use()
             scene.store.put(names.INSTANCE_KIND, "i-1", _INSTANCE)
             begin_s = now_s()
@@ -228,50 +232,51 @@
 
 
 @pytest.mark.parametrize("phase_s", _PHASES_S)
-def test_an_outage_is_seen_though_another_entry_is_slow_to_see_it(
+def test_an_outage_is_detected_though_a_relay_still_reports_the_store_as_reached(
     phase_s: float,
 ) -> None:
-    """That one says that it reaches the store, and is asked for two whole calls.
+    """The relay reports that it reaches the store, but two calls through it time out.
 
-    An entry that took an outage as seen only once every way had been tried was told of
-    the lapse before, by the answer to a call that it made for a third one, and had no
-    instance for 1.2 s. The evidence: "instance-gone" without an outage's age, 0.01 s
-    behind "dependency-regained" and 1.6 s behind the last call of its own that failed.
+    Guards against an entry that detects an outage only after it has tried every relay.
+    Such an entry learned of the lapse first, from the answer to a call that it relayed
+    for a third entry, and had no instance for 1.2 s. The log showed "instance-gone"
+    without an outage's age, 0.01 s after "dependency-regained" and 1.6 s after the last
+    of the entry's own calls that failed.
     """
 
-    async def ask(address: str, message: Any, timeout_s: float) -> Any:
+    async def answer_slowly(address: str, message: Any, timeout_s: float) -> Any:
         if isinstance(message, Probe):
             return ProbeAnswer("b", 0.1, True)
         await asyncio.sleep(2.0 * timeout_s)
         return refuse(ErrorKind.LINK_LOST, "no answer")
 
-    async def for_third(scene: _Scene, timeout_s: float) -> None:
+    async def call_for_third_entry(scene: _Scene, timeout_s: float) -> None:
         await scene.program._store.direct(read_call("entries", "third"), timeout_s)
 
     async def work() -> None:
         async with _scene() as scene:
-            scene.program._ways._links.call = ask  # type: ignore[method-assign]
+            scene.program._store_relays._links.call = answer_slowly  # type: ignore[method-assign]
             await until(5.0 + phase_s)
-            scene.mine.turn(Condition.SILENT)
-            # A call for a third entry fails first, so that a way around is known.
-            await for_third(scene, 0.45)
+            scene.own_connection.turn(Condition.SILENT)
+            # A call for a third entry fails first, so that the entry knows a relay.
+            await call_for_third_entry(scene, 0.45)
             await asyncio.sleep(2.35)
             scene.store.remove(names.INSTANCE_KIND, "i-1")
             await asyncio.sleep(0.2)
-            scene.mine.turn(Condition.WHOLE)
+            scene.own_connection.turn(Condition.WHOLE)
             begin_s = now_s()
-            await for_third(scene, 1.0)
-            used = await scene.is_used_between(now_s(), begin_s + _BACK_S)
+            await call_for_third_entry(scene, 1.0)
+            used = await scene.is_used_between(now_s(), begin_s + _RELISTED_WITHIN_S)
             assert len(used) >= 39
 
     run_virtual(work)
 
 
 async def _known_after(offset_s: float) -> float:
-    """Return how long behind the loss of its way an entry hears of an instance."""
+    """Return the time from a lost connection until an entry knows a new instance."""
     async with _scene() as scene:
         await until(5.0 + offset_s)
-        scene.mine.turn(Condition.SILENT)
+        scene.own_connection.turn(Condition.SILENT)
         lost_s = now_s()
         await asyncio.sleep(0.1)
         scene.store.put(names.INSTANCE_KIND, "i-2", _INSTANCE)
@@ -280,11 +285,12 @@
         return now_s() - lost_s
 
 
-def test_what_changes_behind_a_lost_way_is_known_once_another_is_open() -> None:
-    """Watches stayed on the lost way until the kernel gave it up, 3 s and a pause long.
+def test_changes_after_a_lost_connection_arrive_once_a_relay_is_found() -> None:
+    """Guards against watches that stay on a lost connection.
 
-    A silence is seen 2 s behind its begin (the pause between two small reads, and the
-    time of one), and a way around is found 0.3 s later.
+    The kernel gave such a connection up only after 3 s and a pause. The entry detects a
+    silent connection within 2 s (the pause between two small reads, and the timeout of
+    one), and finds a relay 0.3 s later.
     """
     known_s = {
         phase_s: run_virtual(partial(_known_after, phase_s)) for phase_s in _PHASES_S
--- a/pistachioglade/serving/tests/test_peers.py
+++ b/pistachioglade/serving/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Jobs that pass on between entries while the store is away."""
+"""Jobs that are reassigned between entries, also during an outage of the store."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
 from .._members import ENTRY_KIND, Members
 from .._neighbour import NeighbourWatch
 from .._peers import Peers
-from .._store_ways import StoreWays
+from .._store_ways import StoreRelays
 
 
 @attrs.frozen
 class _Scene:
-    """An entry "me", with one job that "other" owns."""
+    """The entry "me", which knows one job that "other" owns."""
 
     view: FleetView
     ledger: JobLedger
@@ -45,11 +45,11 @@
     neighbour: NeighbourWatch
 
 
-def _attend(message: EngineUnattended) -> Acknowledged | Refusal:
+def _refuse_engine(message: EngineUnattended) -> Acknowledged | Refusal:
     return refuse(ErrorKind.NOT_FOUND, "not played")
 
 
-async def _changes(message: FetchChanges) -> ChangePage | Refusal:
+async def _refuse_changes(message: FetchChanges) -> ChangePage | Refusal:
     return refuse(ErrorKind.NOT_OWNER, "not played")
 
 
@@ -64,7 +64,7 @@
     fields = {"items": [{"id": "i0", "path": "/"}]}
     submission = Submission("other@h:2", "b", "h", "/", 0.0, fields)
     ledger.take(Entry("job", 1, encode_submission(submission), None), False)
-    ways = StoreWays(members, client, links)
+    store_relays = StoreRelays(members, client, links)
     peers = Peers(
         members,
         view,
@@ -73,16 +73,18 @@
         links,
         ledger,
         owner,
-        ways,
-        _attend,
-        _changes,
+        store_relays,
+        _refuse_engine,
+        _refuse_changes,
         CrashLedger(),
     )
-    neighbour = NeighbourWatch(members, client, links, ways, peers.inherit)
+    neighbour = NeighbourWatch(
+        members, client, links, store_relays, peers.reassign_jobs
+    )
     return _Scene(view, ledger, members, peers, neighbour)
 
 
-def _deaf_links() -> LinkPool:
+def _unreachable_links() -> LinkPool:
     links = LinkPool(Identity("me", ""))
 
     async def call(address: str, message: Any, timeout_s: float) -> Any:
@@ -92,56 +94,59 @@
     return links
 
 
-def test_a_takeover_lasts_through_an_outage_of_the_store() -> None:
-    """An owner lost in an outage; its job went on 2.9 s after the store was back."""
+def test_a_change_of_owner_is_retried_through_an_outage_of_the_store() -> None:
+    """Guards against a delay after an outage in which a job's owner is lost.
+
+    The job continued only 2.9 s after the store was back.
+    """
 
     async def work() -> None:
         async with served_store() as store:
-            scene = _scene(store.client(), _deaf_links())
+            scene = _scene(store.client(), _unreachable_links())
             store.standin.faults.down = True
-            taking = asyncio.create_task(
-                scene.peers.take_over(scene.ledger.jobs["job"], "me@h:1", False)
+            changing = asyncio.create_task(
+                scene.peers.change_owner(scene.ledger.jobs["job"], "me@h:1", False)
             )
-            # More than one try of one second, as it was before.
+            # Longer than one attempt with a timeout of one second.
             await asyncio.sleep(1.5)
-            assert not taking.done()
+            assert not changing.done()
             store.standin.faults.down = False
-            await taking
+            await changing
             assert scene.ledger.jobs["job"].owner == "me@h:1"
 
     run(work)
 
 
-def test_all_entries_hear_of_a_new_owner() -> None:
-    """Their readers ask the owner that they know of."""
+def test_all_entries_are_notified_of_a_new_owner() -> None:
+    """The readers of each entry ask the owner that the entry knows of."""
 
     async def work() -> None:
         async with served_store() as store:
-            links = _deaf_links()
-            told: list[str] = []
+            links = _unreachable_links()
+            notified: list[str] = []
 
             async def call(address: str, message: Any, timeout_s: float) -> Any:
-                told.append(address)
+                notified.append(address)
                 return Acknowledged()
 
             links.call = call  # type: ignore[method-assign]
             scene = _scene(store.client(), links)
             _list(scene.members, other=1.0, third=1.0, fourth=1.0)
-            await scene.peers.take_over(scene.ledger.jobs["job"], "me@h:1", False)
-            assert sorted(told) == ["h:2", "h:3", "h:4"]
+            await scene.peers.change_owner(scene.ledger.jobs["job"], "me@h:1", False)
+            assert sorted(notified) == ["h:2", "h:3", "h:4"]
 
     run(work)
 
 
 def _list(members: Members, **capacities: float) -> None:
-    """List entries with addresses of their own."""
-    for place, (node, capacity) in enumerate(capacities.items(), 2):
-        value = {"address": f"h:{place}", "boot": "b", "capacity": capacity}
-        members.mirror.put(Entry(node, place, value, None))
+    """List entries with distinct addresses."""
+    for number, (node, capacity) in enumerate(capacities.items(), 2):
+        value = {"address": f"h:{number}", "boot": "b", "capacity": capacity}
+        members.mirror.put(Entry(node, number, value, None))
 
 
 def _put_route(view: FleetView) -> None:
-    """Put a route in force that the job's path has."""
+    """Put a configuration in force with a route for the job's path."""
     route = {
         "name": "jobs",
         "host": "h",
@@ -158,7 +163,7 @@
     ("answer", "owner"),
     [
         (HomeAnswer(True), "big@h:3"),
-        # It is cut off from the store, or leaves.
+        # The candidate is cut off from the store, or shuts down.
         (HomeAnswer(False), "me@h:1"),
         (refuse(ErrorKind.LINK_NOT_OPEN, "nobody"), "me@h:1"),
     ],
@@ -166,11 +171,14 @@
 def test_a_lost_entrys_jobs_go_to_a_home_that_can_run_them(
     answer: Any, owner: str
 ) -> None:
-    """The entry that noticed the loss, a small one, began them 1 to 2 s later."""
+    """Guards against jobs that the small entry which detects a loss runs itself.
+
+    Such an entry began the jobs 1 to 2 s later.
+    """
 
     async def work() -> None:
         async with served_store() as store:
-            links = _deaf_links()
+            links = _unreachable_links()
 
             async def call(address: str, message: Any, timeout_s: float) -> Any:
                 is_asked = isinstance(message, AskHome) and address == "h:3"
@@ -180,41 +188,44 @@
             scene = _scene(store.client(), links)
             _put_route(scene.view)
             _list(scene.members, other=2.0, big=2.0, me=0.4)
-            await scene.peers.inherit("other", is_alive=False)
+            await scene.peers.reassign_jobs("other", is_alive=False)
             assert scene.ledger.jobs["job"].owner == owner
 
     run(work)
 
 
-def test_an_entry_without_a_way_to_the_store_takes_no_job() -> None:
-    """Each step began at such a home, and anew where its neighbour took it to."""
+def test_an_entry_cut_off_from_the_store_refuses_jobs() -> None:
+    """Guards against steps that begin at such an entry.
+
+    Each of them started over at the entry to which the ring neighbour reassigned it.
+    """
 
     async def work() -> None:
         async with served_store() as store:
             client = store.client()
-            peers = _scene(client, _deaf_links()).peers
+            peers = _scene(client, _unreachable_links()).peers
             fields = {"items": [{"id": "i0", "path": "/"}]}
             submission = Submission("me@h:1", "b", "h", "/", 0.0, fields)
             message = StoredRecord("new", 7, encode_submission(submission))
             store.standin.faults.down = True
             await client.look("jobs", "-", 1.0)
-            told = await peers.answer(message, Peer("other"))
-            assert isinstance(told, Refusal)
+            reply = await peers.answer(message, Peer("other"))
+            assert isinstance(reply, Refusal)
             store.standin.faults.down = False
-            # It looks at the store again before it refuses one.
-            told = await peers.answer(message, Peer("other"))
-            assert isinstance(told, Acknowledged)
+            # The entry checks the store again before it refuses a job.
+            reply = await peers.answer(message, Peer("other"))
+            assert isinstance(reply, Acknowledged)
 
     run(work)
 
 
-def test_an_entry_without_the_store_leaves_the_list_until_it_is_back() -> None:
-    """Each new job waited for its refusal."""
+def test_an_entry_cut_off_from_the_store_is_removed_from_the_list() -> None:
+    """Guards against new jobs that each wait for the refusal of such an entry."""
 
     async def work() -> None:
         async with served_store() as store:
             client = store.client()
-            links = _deaf_links()
+            links = _unreachable_links()
 
             async def call(address: str, message: Any, timeout_s: float) -> Any:
                 return ProbeAnswer("b", 5.0, False)
@@ -222,10 +233,10 @@
             links.call = call  # type: ignore[method-assign]
             scene = _scene(client, links)
             value = {"address": "h:2", "boot": "b", "capacity": 1.0}
-            listed = await client.create(ENTRY_KIND, "other", value, 5.0)
-            assert isinstance(listed, Entry)
-            scene.members.mirror.put(listed)
-            await scene.neighbour.look("other")
+            stored = await client.create(ENTRY_KIND, "other", value, 5.0)
+            assert isinstance(stored, Entry)
+            scene.members.mirror.put(stored)
+            await scene.neighbour.probe_neighbour("other")
             found = await client.read(ENTRY_KIND, "other")
             assert isinstance(found, Refusal)
             assert found.kind is ErrorKind.NOT_FOUND
@@ -233,22 +244,20 @@
     run(work)
 
 
-def test_a_planned_stop_without_another_home_keeps_its_jobs_until_there_is_one() -> (
-    None
-):
-    """A roll over all entries, in which the last one stops before the next is back.
+def test_a_planned_stop_keeps_jobs_until_another_entry_accepts_them() -> None:
+    """A rolling restart in which the last entry stops before another one is back.
 
-    What our own day showed: a step of 7.5 s took 12.3 s. The order of events: three of
-    four entries were about to stop when the fourth, the home of all jobs, stopped too.
-    It passed its jobs on to itself, and so ended their runs; their samples stood still
-    for 3.4 s, until it had started again, and began anew. The cause: where no other
-    home was found, its own name was written as the next owner's. The evidence:
-    `job-owner-changed` with the same entry as owner and earlier owner.
+    Guards against an entry that reassigns jobs to itself; a step of 7.5 s took 12.3 s.
+    Three of four entries were about to stop when the fourth, the owner of all jobs,
+    stopped too. The entry found no other candidate, wrote its own name as the next
+    owner, and thereby ended the jobs' runs. The samples stood still for 3.4 s until the
+    entry had restarted, and then started over. The log showed `job-owner-changed` with
+    the same entry as owner and earlier owner.
     """
 
     async def work() -> None:
         async with served_store() as store:
-            links = _deaf_links()
+            links = _unreachable_links()
             has_started = False
 
             async def call(address: str, message: Any, timeout_s: float) -> Any:
@@ -260,18 +269,18 @@
             scene = _scene(store.client(), links)
             _put_route(scene.view)
             state = scene.ledger.jobs["job"]
-            await scene.peers.take_over(state, "me@h:1", False)
+            await scene.peers.change_owner(state, "me@h:1", False)
             revision = state.owner_revision
             running = mock.Mock(state=state)
             scene.peers._owner.runs["job"] = running
             _list(scene.members, other=1.0)
-            assert not await scene.peers.hand_over()
+            assert not await scene.peers.hand_over_jobs()
             assert (state.owner, state.owner_revision) == ("me@h:1", revision)
             running.stop_writing.assert_not_called()
             has_started = True
             _list(scene.members, other=1.0, third=1.0)
-            scene.members.note_reached("third")
-            assert await scene.peers.hand_over()
+            scene.members.record_reachable("third")
+            assert await scene.peers.hand_over_jobs()
             assert state.owner == "third@h:3"
             running.stop_writing.assert_called_once()
 
--- a/pistachioglade/serving/tests/test_store_ways.py
+++ b/pistachioglade/serving/tests/test_store_ways.py
@@ -1,4 +1,4 @@
-"""What callers of an entry get that is cut off from the store with its neighbours."""
+"""Callers of an entry that is cut off from the store together with its neighbours."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 from ...store import StoreClient
 from ...store.tests.served import eventually, run, served_store
 from .._members import Members
-from .._store_ways import StoreWays
+from .._store_ways import StoreRelays
 
-#: The entry that is asked, the one before it, and eight of others; a third of all is
-#: cut off, those next to it among them.
+#: Names of the entry under test, of all ten entries, and of the third of them that is
+#: cut off from the store: the entry under test and the two entries before it.
 _ME = "e-3"
 _NAMES = tuple(f"e-{number}" for number in range(10))
 _CUT_OFF = frozenset({"e-1", "e-2", _ME})
@@ -31,15 +31,15 @@
 
 @attrs.frozen
 class _Scene:
-    """An entry that is cut off, and the client that another one has."""
+    """A cut-off entry's client and relays, and the client that its relays use."""
 
-    mine: StoreClient
-    theirs: StoreClient
-    ways: StoreWays
+    own_client: StoreClient
+    relay_client: StoreClient
+    store_relays: StoreRelays
 
 
-def _links(theirs: StoreClient) -> LinkPool:
-    """Return links to entries of which only some reach the store."""
+def _links(relay_client: StoreClient) -> LinkPool:
+    """Return links to entries, of which only some reach the store."""
     links = LinkPool(Identity(_ME, ""))
 
     async def call(address: str, message: Any, timeout_s: float) -> Any:
@@ -49,7 +49,7 @@
         if address in _CUT_OFF:
             return refuse(ErrorKind.PLATFORM_UNAVAILABLE, "cut off as well")
         sent = StoreCall(message.method, message.target, message.body)
-        answer = await theirs.direct(sent, message.timeout_s)
+        answer = await relay_client.direct(sent, message.timeout_s)
         assert not isinstance(answer, Refusal)
         return RelayAnswer(answer.status, answer.body)
 
@@ -57,64 +57,69 @@
     return links
 
 
-def _play(case: Callable[[_Scene], Awaitable[None]], policy: Policy) -> None:
+def _run_case(case: Callable[[_Scene], Awaitable[None]], policy: Policy) -> None:
     async def work() -> None:
         async with served_store() as near, served_store() as far:
-            # The far store is the real one; the near one stands for a path to it that
-            # carries nothing.
+            # ``far`` is the real store. ``near`` stands for a connection to the store
+            # that carries no data.
             near.is_silent = True
-            mine, theirs = near.client(), far.client()
-            members = Members(_ME, _ME, 1.0, "b", mine, FleetView(lambda: None))
-            for place, name in enumerate(_NAMES, 1):
+            own_client, relay_client = near.client(), far.client()
+            members = Members(_ME, _ME, 1.0, "b", own_client, FleetView(lambda: None))
+            for revision, name in enumerate(_NAMES, 1):
                 value = {"address": name, "boot": "b", "capacity": 1.0}
-                members.mirror.put(Entry(name, place, value, None))
-            ways = StoreWays(members, mine, _links(theirs), policy)
-            mine.relays = ways.relays
-            # What the probes of the one before it have told.
-            ways.note("e-2", ProbeAnswer("b", 5.0, False))
-            looking = asyncio.create_task(ways.run())
-            await case(_Scene(mine, theirs, ways))
-            looking.cancel()
+                members.mirror.put(Entry(name, revision, value, None))
+            store_relays = StoreRelays(
+                members, own_client, _links(relay_client), policy
+            )
+            own_client.relays = store_relays.relays
+            # The answer of the ring neighbour to a probe.
+            store_relays.record_answer("e-2", ProbeAnswer("b", 5.0, False))
+            searching = asyncio.create_task(store_relays.run())
+            await case(_Scene(own_client, relay_client, store_relays))
+            searching.cancel()
 
     run(work)
 
 
 async def _read_and_write(scene: _Scene) -> tuple[Entry | Refusal, Entry | Refusal]:
-    """Read a job that the entry doesn't know and accept another one."""
-    await scene.theirs.create(JOB_KIND, "job", {"items": []}, 5.0)
-    await scene.mine.look(JOB_KIND, "-", 0.2)
-    assert not scene.mine.is_reached
-    # A caller that was refused comes again half a second later.
+    """Read a job that the entry doesn't know, and write another job."""
+    await scene.relay_client.create(JOB_KIND, "job", {"items": []}, 5.0)
+    await scene.own_client.look(JOB_KIND, "-", 0.2)
+    assert not scene.own_client.is_reached
+    # A refused caller retries half a second later.
     await asyncio.sleep(0.5)
-    read = await scene.mine.read(JOB_KIND, "job")
-    made = await scene.mine.create(JOB_KIND, "new", {"items": [1]}, 1.5)
-    return read, made
+    read = await scene.own_client.read(JOB_KIND, "job")
+    written = await scene.own_client.create(JOB_KIND, "new", {"items": [1]}, 1.5)
+    return read, written
 
 
-def test_callers_of_a_cut_off_entry_are_served_by_way_of_any_other() -> None:
-    """Reads and submissions got 503 for 9 to 12 s: the one before was cut off too."""
+def test_callers_of_a_cut_off_entry_are_served_through_any_relay() -> None:
+    """Guards against reads and submissions that get 503 for 9 to 12 s.
+
+    The only relay known was the entry before, which was cut off too.
+    """
 
     async def case(scene: _Scene) -> None:
-        read, made = await _read_and_write(scene)
+        read, written = await _read_and_write(scene)
         assert isinstance(read, Entry)
         assert read.value == {"items": []}
-        assert isinstance(made, Entry)
-        found = await scene.theirs.read(JOB_KIND, "new")
+        assert isinstance(written, Entry)
+        found = await scene.relay_client.read(JOB_KIND, "new")
         assert isinstance(found, Entry)
 
-    _play(case, Policy())
+    _run_case(case, Policy())
 
 
-def test_without_it_they_are_refused() -> None:
+def test_callers_of_a_cut_off_entry_are_refused_without_relays() -> None:
     async def case(scene: _Scene) -> None:
-        read, made = await _read_and_write(scene)
+        read, written = await _read_and_write(scene)
         assert isinstance(read, Refusal)
-        assert isinstance(made, Refusal)
+        assert isinstance(written, Refusal)
 
-    _play(case, Policy(frozenset({Mechanism.ANY_RELAY})))
+    _run_case(case, Policy(frozenset({Mechanism.ANY_RELAY})))
 
 
-def test_looks_end_once_the_store_answers_again() -> None:
+def test_the_search_for_relays_ends_once_the_store_answers_again() -> None:
     async def work() -> None:
         async with served_store() as store:
             client = store.client()
@@ -129,7 +134,7 @@
             members = Members(_ME, _ME, 1.0, "b", client, FleetView(lambda: None))
             value = {"address": "e-1", "boot": "b", "capacity": 1.0}
             members.mirror.put(Entry("e-1", 1, value, None))
-            looking = asyncio.create_task(StoreWays(members, client, links).run())
+            searching = asyncio.create_task(StoreRelays(members, client, links).run())
             await client.look(JOB_KIND, "-", 1.0)
             await asyncio.sleep(0.1)
             assert asked == []
@@ -141,18 +146,20 @@
             count = len(asked)
             await asyncio.sleep(1.0)
             assert len(asked) <= count + 1
-            looking.cancel()
+            searching.cancel()
 
     run(work)
 
 
 @pytest.mark.parametrize("status", [200, 404])
-def test_a_call_by_way_of_another_brings_its_answer(status: int) -> None:
+def test_a_relayed_call_returns_the_answer_of_the_store(status: int) -> None:
     async def case(scene: _Scene) -> None:
-        await scene.theirs.create(JOB_KIND, "job", {"n": 1}, 5.0)
-        await scene.mine.look(JOB_KIND, "-", 0.2)
-        await eventually(lambda: bool(scene.ways.relays()))
-        found = await scene.mine.read(JOB_KIND, "job" if status == 200 else "none")
+        await scene.relay_client.create(JOB_KIND, "job", {"n": 1}, 5.0)
+        await scene.own_client.look(JOB_KIND, "-", 0.2)
+        await eventually(lambda: bool(scene.store_relays.relays()))
+        found = await scene.own_client.read(
+            JOB_KIND, "job" if status == 200 else "none"
+        )
         if status == 200:
             assert isinstance(found, Entry)
             assert json.dumps(found.value) == '{"n": 1}'
@@ -160,4 +167,4 @@
             assert isinstance(found, Refusal)
             assert found.kind is ErrorKind.NOT_FOUND
 
-    _play(case, Policy())
+    _run_case(case, Policy())
--- a/pistachioglade/serving/tests/test_watch_relays.py
+++ b/pistachioglade/serving/tests/test_watch_relays.py
@@ -1,7 +1,7 @@
-"""Entries that follow others' copies of the store, while those are lost at any moment.
+"""Entries that follow relays of the store's changes, while relays are lost.
 
-Each of sixty entries watched the list of instances for itself: half of all that a calm
-day of the large deployment paid the store for.
+Guards against the cost of entries that all watch the list of instances themselves: with
+sixty entries, half of what a calm day of the large deployment paid for the store.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 )
 from .._watch_relays import WatchRelays
 
-#: Time for which a leaving instance serves: the shortest of the deployments.
+#: Time for which a leaving instance serves: the shortest of all deployments.
 DRAIN_S: Final = 2.0
 NODES: Final = 20
 KIND: Final = names.INSTANCE_KIND
@@ -36,7 +36,7 @@
 
 @attrs.define
 class _Members:
-    """The list of entries, as one of them knows it."""
+    """The list of entries, as one entry knows it."""
 
     node: str
     names: tuple[str, ...]
@@ -46,8 +46,8 @@
         return node
 
 
-class _Way(ScriptedWay):
-    """Counts the calls that are paid in full."""
+class _CountingConnection(ScriptedWay):
+    """A connection to the store that counts the calls which are paid in full."""
 
     paid = 0
 
@@ -57,15 +57,15 @@
 
 
 class _Node:
-    """One entry's copy, with its ways to the store and to the others."""
+    """An entry's copy of the instances, and its connections to store and entries."""
 
     def __init__(self, name: str, fleet: _Fleet, policy: Any) -> None:
         self.name = name
         self._fleet = fleet
         self.is_down = False
-        self.way = _Way(fleet.store)
+        self.connection = _CountingConnection(fleet.store)
         self.client = StoreClient("store", 1)
-        self.client._pool = self.way  # type: ignore[assignment]
+        self.client._pool = self.connection  # type: ignore[assignment]
         self.members = _Members(name, fleet.names)
         self.relays = WatchRelays(
             self.members,  # type: ignore[arg-type]
@@ -75,33 +75,39 @@
             *policy,
         )
         self.mirror = Mirror(
-            self.client, KIND, self._take, gather_s=self._gather_s, follow=self._follow
+            self.client,
+            KIND,
+            self._record_change,
+            gather_s=self._gather_s,
+            follow=self._follow,
         )
         self.relays.mirrors = {KIND: self.mirror}
-        # When each object was first seen here.
+        # Time at which this entry first saw each object, in seconds, by name.
         self.seen_s: dict[str, float] = {}
         self.tasks = [
             asyncio.create_task(self.mirror.run()),
             asyncio.create_task(
-                self.client.beat("entries", name, lambda: self.relays.beat_s)
+                self.client.beat(
+                    "entries", name, lambda: self.relays.store_check_interval_s
+                )
             ),
         ]
 
     def _gather_s(self) -> float:
-        part = RELAY_GATHER_PART if self.relays.is_relay else 0.6
-        return part * DRAIN_S
+        fraction = RELAY_GATHER_PART if self.relays.is_relay else 0.6
+        return fraction * DRAIN_S
 
     async def _follow(self, kind: str, revision: int) -> Any:
-        return await self.relays.changes(kind, revision)
+        return await self.relays.fetch_changes(kind, revision)
 
-    def _take(self, entry: Entry, is_removed: bool) -> None:
+    def _record_change(self, entry: Entry, is_removed: bool) -> None:
         if is_removed:
             self.seen_s[f"{entry.name} gone"] = now_s()
         else:
             self.seen_s.setdefault(entry.name, now_s())
 
     async def call(self, address: str, message: FetchChanges, timeout_s: float) -> Any:
-        """Ask another node, as a pool of links does."""
+        """Call another entry, in place of a link pool."""
         other = self._fleet.nodes[address]
         try:
             async with asyncio.timeout(timeout_s):
@@ -113,14 +119,14 @@
             return refuse(ErrorKind.DEADLINE_EXCEEDED, "no answer")
 
     def lose(self) -> None:
-        """End as a machine does that loses its power."""
+        """Stop without notice, as a machine that loses power."""
         self.is_down = True
         for task in self.tasks:
             task.cancel()
 
 
 class _Fleet:
-    """All nodes before one store."""
+    """All entries of one store."""
 
     def __init__(self, policy: tuple[Any, ...] = ()) -> None:
         self.store = ScriptedStore()
@@ -134,10 +140,10 @@
 
     @property
     def paid(self) -> int:
-        return sum(node.way.paid for node in self.nodes.values())
+        return sum(node.connection.paid for node in self.nodes.values())
 
     async def slowest_s(self, name: str, since_s: float, limit_s: float) -> float:
-        """Return how long a change took to the last node that lives."""
+        """Return the time until the last live entry has seen a change."""
         await until(since_s + limit_s)
         missing = [node.name for node in self.alive if name not in node.seen_s]
         assert not missing, (name, missing)
@@ -148,7 +154,7 @@
             node.lose()
 
 
-def _play(case: Callable[[_Fleet], Awaitable[None]], *policy: Any) -> None:
+def _run_case(case: Callable[[_Fleet], Awaitable[None]], *policy: Any) -> None:
     async def work() -> None:
         fleet = _Fleet(policy)
         try:
@@ -159,7 +165,7 @@
     run_virtual(work)
 
 
-def test_a_change_reaches_all_for_few_calls() -> None:
+def test_a_change_reaches_all_entries_with_few_calls() -> None:
     async def case(fleet: _Fleet) -> None:
         await until(5.0)
         before = fleet.paid
@@ -169,13 +175,14 @@
             fleet.store.put(KIND, f"i-{number}", {})
             slowest.append(await fleet.slowest_s(f"i-{number}", at_s, 1.0))
         assert max(slowest) < RELAY_GATHER_PART * DRAIN_S + 0.1
-        # Two relays of twenty entries, one call a change at most, and idle ends.
+        # Each of two relays makes at most one call for a change. The rest are watches
+        # that end without a change.
         assert fleet.paid - before < 2 * 40 + NODES
 
-    _play(case)
+    _run_case(case)
 
 
-def test_an_object_that_is_removed_and_made_again_stays() -> None:
+def test_an_object_that_is_removed_and_created_again_stays() -> None:
     async def case(fleet: _Fleet) -> None:
         fleet.store.put(KIND, "i", {"run": 1})
         await until(5.0)
@@ -188,13 +195,15 @@
         await until(11.0)
         assert not any(node.mirror.entries for node in fleet.alive)
 
-    _play(case)
+    _run_case(case)
 
 
 @pytest.mark.parametrize("tenth", range(0, 20, 3))
 @pytest.mark.parametrize("lost", [1, 2])
-def test_relays_that_are_lost_hold_no_change_back(lost: int, tenth: int) -> None:
-    """They fall silent just before a change, one of them or all."""
+def test_lost_relays_delay_no_change_beyond_the_drain_time(
+    lost: int, tenth: int
+) -> None:
+    """One or all relays fall silent just before a change."""
 
     async def case(fleet: _Fleet) -> None:
         await until(10.0 + tenth / 10)
@@ -204,35 +213,35 @@
         fleet.store.put(KIND, "i", {})
         slowest_s = await fleet.slowest_s("i", at_s, DRAIN_S)
         assert slowest_s < DRAIN_S
-        # The next change reaches them by the relay that is left, or by the store.
+        # The next change arrives through the remaining relay or from the store.
         at_s = now_s()
         fleet.store.put(KIND, "j", {})
         await fleet.slowest_s("j", at_s, DRAIN_S)
 
-    _play(case)
+    _run_case(case)
 
 
 @pytest.mark.parametrize("condition", [Condition.SILENT, Condition.REFUSED])
 @pytest.mark.parametrize("tenth", range(0, 20, 3))
-def test_a_relay_that_lacks_the_store_holds_no_change_back(
+def test_a_relay_cut_off_from_the_store_delays_no_change_beyond_the_drain_time(
     tenth: int, condition: Condition
 ) -> None:
-    """It alone is cut off; the others are answerable for what they still use."""
+    """Only the relay is cut off; its followers still have to see changes in time."""
 
     async def case(fleet: _Fleet) -> None:
         await until(10.0 + tenth / 10)
         relay = fleet.relays[0]
-        relay.way.turn(condition)
+        relay.connection.turn(condition)
         at_s = now_s()
         fleet.store.put(KIND, "i", {})
         await until(at_s + DRAIN_S)
         others = [node for node in fleet.alive if node is not relay]
         assert all("i" in node.seen_s for node in others)
 
-    _play(case)
+    _run_case(case)
 
 
-def test_a_follower_whose_place_is_forgotten_lists_anew() -> None:
+def test_a_follower_whose_revision_is_unknown_lists_anew() -> None:
     async def case(fleet: _Fleet) -> None:
         await until(5.0)
         for relay in fleet.relays:
@@ -242,10 +251,10 @@
         await until(8.0)
         assert all("j" in node.seen_s for node in fleet.alive)
 
-    _play(case)
+    _run_case(case)
 
 
-def test_an_entry_that_is_no_relay_refuses_to_be_followed() -> None:
+def test_an_entry_that_is_no_relay_refuses_followers() -> None:
     async def case(fleet: _Fleet) -> None:
         await until(2.0)
         follower = next(node for node in fleet.alive if node not in fleet.relays)
@@ -259,4 +268,4 @@
         answer = await leaving.relays.answer(FetchChanges(KIND, 1, 0.1))
         assert isinstance(answer, Refusal)
 
-    _play(case)
+    _run_case(case)
