--- a/pistachioglade/serving/__main__.py
+++ b/pistachioglade/serving/__main__.py
@@ -2,8 +2,8 @@
 
 SIGHUP means that the settings file has changed, but its default action ends the
 process. SIGHUP is therefore ignored before the other imports, which take most of the
-start, until the program installs its handler. A change of the file during the start is
-still noticed by the regular checks.
+start, until the program installs its handler. Changes of the file in that time are read
+without the signal, since the program loads the file and then checks it at intervals.
 """
 
 import signal
--- a/pistachioglade/serving/_engine_program.py
+++ b/pistachioglade/serving/_engine_program.py
@@ -38,8 +38,8 @@
 _IDLE_INTERVAL_S: Final = 2.0
 #: Longest pause after a refused lease.
 _LONGEST_PAUSE_S: Final = 1.0
-#: Time for which the rank of an engine is valid. Engines come and go within seconds;
-#: two engines that load out of turn once cost one paid load.
+#: Time for which the rank of an engine is valid. Engines come and go within seconds. If
+#: two engines load out of turn once, this costs one paid load.
 _RANK_VALIDITY_S: Final = 4.0
 
 
--- a/pistachioglade/serving/_job_calls.py
+++ b/pistachioglade/serving/_job_calls.py
@@ -161,7 +161,7 @@
     def _finish_task(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self._log.error("job-task-failed", exc_info=task.exception())
+            self._log.error("job-call-task-failed", exc_info=task.exception())
 
     async def _find_job(self, job_id: str) -> JobState | Refusal:
         """Return a job from the ledger, or else from the store."""
--- a/pistachioglade/serving/_neighbour.py
+++ b/pistachioglade/serving/_neighbour.py
@@ -35,7 +35,9 @@
 
 
 class NeighbourWatch:
-    """Probes the entry before this one by name, and acts on its loss.
+    """Probes the entry before this one by name, and reassigns its jobs if it fails.
+
+    A neighbour fails if it is lost, or if it is cut off from the store.
 
     A busy neighbour answers late. An answer that arrives after the probe's timeout
     still shows that the neighbour lives.
@@ -92,7 +94,7 @@
         self._is_lost = self._is_in_doubt = False
 
     async def probe_neighbour(self, name: str) -> None:
-        """Probe the neighbour once and act on its loss."""
+        """Probe the neighbour once, and reassign its jobs if it has failed."""
         if name != self._name:
             self._watch_entry(name)
         address = self._members.address_of_node(name)
@@ -131,9 +133,9 @@
                 connections_refused=self._refused_connections,
             )
         if self._reassigns_jobs:
-            await self._act_on_loss(name, view)
+            await self._handle_failure(name, view)
 
-    async def _act_on_loss(self, name: str, view: NeighbourView) -> None:
+    async def _handle_failure(self, name: str, view: NeighbourView) -> None:
         if self._is_lost:
             await asyncio.gather(
                 self._reassign_jobs(name, False), self._members.remove_entry(name)
