--- a/pistachioglade/forwarding/__init__.py
+++ b/pistachioglade/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""Forwarding of requests to instances, and what is known of these."""
+"""Forwarding of requests to instances, and the node's view of the instances."""
 
 from ._events import EventDecoder, StreamEvent
 from ._fleet_view import FleetView, InstanceHandle
--- a/pistachioglade/forwarding/_events.py
+++ b/pistachioglade/forwarding/_events.py
@@ -1,4 +1,4 @@
-"""Server-sent events of a model engine, with the weight version of each."""
+"""Decoder of the server-sent events of a model engine and their weight versions."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from ..platform import names
 
-#: The empty line behind an event.
+#: Empty line after an event.
 _SEPARATOR: Final = re.compile(rb"\r?\n\r?\n")
 
 
@@ -17,40 +17,42 @@
 class StreamEvent:
     """One event of a stream."""
 
-    # Number of the event; they ascend by one.
+    # Event id; ids ascend by one.
     number: int
-    # Its data.
+    # Value of the event's data lines, joined by line feeds.
     data: str
-    # Weight version from this event on; None if it hasn't changed.
+    # Weight version from this event on; None if the version hasn't changed.
     version: int | None
-    # The event as it came, with the empty line behind it.
+    # Received bytes of the event, with the empty line after it.
     raw: bytes = attrs.field(default=b"", eq=False, repr=False)
 
 
 class EventDecoder:
-    """Takes the bytes of a stream, returns its whole events."""
+    """Splits the bytes of a stream into complete events."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._incomplete = b""
 
     def feed(self, chunk: bytes) -> list[StreamEvent] | None:
-        """Return the events that are whole now; None if the bytes are no events."""
-        data = self._rest + chunk
+        """Return the events that a chunk completes; None if the bytes are malformed."""
+        data = self._incomplete + chunk
         events: list[StreamEvent] = []
         start = 0
-        for gap in _SEPARATOR.finditer(data):
-            event = _parse(data[start : gap.start()], data[start : gap.end()])
+        for separator in _SEPARATOR.finditer(data):
+            event = _parse(
+                data[start : separator.start()], data[start : separator.end()]
+            )
             if event is None:
                 return None
             events.append(event)
-            start = gap.end()
-        self._rest = data[start:]
+            start = separator.end()
+        self._incomplete = data[start:]
         return events
 
     @property
     def is_between_events(self) -> bool:
-        """Whether no part of an event is left over."""
-        return not self._rest.strip()
+        """Whether no partial event is buffered."""
+        return not self._incomplete.strip()
 
 
 def _parse(block: bytes, raw: bytes) -> StreamEvent | None:
--- a/pistachioglade/forwarding/_forward.py
+++ b/pistachioglade/forwarding/_forward.py
@@ -1,4 +1,4 @@
-"""Forwards callers' requests: route, instance, tries within time and budget."""
+"""Forwards callers' requests to instances and retries within deadline and budget."""
 
 from __future__ import annotations
 
@@ -29,32 +29,33 @@
 
 @attrs.frozen
 class ForwardedCall:
-    """A request on its way to an upstream."""
+    """A request to an upstream, with its route and deadline."""
 
     # The caller's request.
     request: Request
-    # The caller's id of this try.
+    # Attempt id that the caller has given to the request.
     request_id: str
-    # Its route.
+    # Route of the request.
     route: Route
-    # When it has to be answered, in seconds of the monotonic clock.
+    # Deadline of the answer, in seconds of the monotonic clock.
     deadline_s: float
-    # Answers of 500 that end it; None if only the route's tries do.
+    # Number of answers with status 500 after which no further try is made; None if
+    # only the route's number of tries counts.
     most_failures: int | None = None
 
 
 @attrs.frozen
 class ForwardedAnswer:
-    """What became of a request."""
+    """Result of a forwarded request."""
 
-    # An instance's answer, or why there is none.
+    # Answer of an instance, or the reason why there is none.
     answer: Response | Refusal
-    # Answers of 500 that instances gave.
+    # Number of answers with status 500 that instances gave.
     failures: int
 
 
 class Forwarder:
-    """Sends requests to instances."""
+    """Sends requests to instances, with retries."""
 
     def __init__(
         self,
@@ -74,21 +75,25 @@
     def call_for(
         self, request: Request, request_id: str, route: Route
     ) -> ForwardedCall:
-        """Return the call of a request, with the time that it has."""
-        told_s = caller_deadline_s(request.fields)
-        within_s = route.timeout_s if told_s is None else min(told_s, route.timeout_s)
-        return ForwardedCall(request, request_id, route, request.received_s + within_s)
+        """Return the call of a request; its deadline is the caller's or the route's."""
+        requested_s = caller_deadline_s(request.fields)
+        allowed_s = (
+            route.timeout_s
+            if requested_s is None
+            else min(requested_s, route.timeout_s)
+        )
+        return ForwardedCall(request, request_id, route, request.received_s + allowed_s)
 
     async def forward(self, call: ForwardedCall) -> Response | Refusal:
-        """Return an instance's answer, or why there is none."""
+        """Return an instance's answer, or the reason why there is none."""
         return (await self.forward_counted(call)).answer
 
     async def forward_counted(self, call: ForwardedCall) -> ForwardedAnswer:
-        """Return what becomes of a request, with the failures on the way."""
+        """Forward a request; return its result and the number of failed answers."""
         loop = asyncio.get_running_loop()
         route = call.route
         upstream = choose_upstream(route, call.request_id)
-        kept = attrs.evolve(call.request, fields=end_to_end(call.request.fields))
+        forwarded = attrs.evolve(call.request, fields=end_to_end(call.request.fields))
         policy = CallPolicy(
             route.kind is RouteKind.IDEMPOTENT, route.max_attempts, route.aim_s
         )
@@ -109,10 +114,10 @@
                 last = refusal
                 break
             tried.append(handle.id)
-            time_s = try_time_s(policy, len(tried), remaining_s)
+            try_timeout_s = try_time_s(policy, len(tried), remaining_s)
             with guard.running():
                 last = await call_instance(
-                    self._view, handle, kept, call.request_id, time_s
+                    self._view, handle, forwarded, call.request_id, try_timeout_s
                 )
             guard.note_result(
                 handle.instance, last if isinstance(last, Refusal) else None
@@ -162,7 +167,7 @@
 
 
 def healthy_instances(view: FleetView, upstream: str) -> Iterator[Instance]:
-    """Return the open instances of an upstream that aren't resting."""
+    """Return the open instances of an upstream that aren't in a cooldown."""
     now_s = asyncio.get_running_loop().time()
     return (
         handle.instance
@@ -186,7 +191,10 @@
 def final_answer(
     last: Response | Refusal, may_have_run: bool, call: ForwardedCall, now_s: float
 ) -> Response | Refusal:
-    """Return what a caller gets in the end; a refusal promises no more than known."""
+    """Return the answer for the caller.
+
+    A refusal says that the request didn't run only if no instance can have run it.
+    """
     if isinstance(last, Response):
         return Response(last.status, end_to_end(last.fields), last.body)
     if may_have_run:
--- a/pistachioglade/forwarding/_stream.py
+++ b/pistachioglade/forwarding/_stream.py
@@ -1,8 +1,8 @@
-"""Passes an instance's stream of events on to a caller, event by event.
+"""Forwards an instance's stream of events to a caller, event by event.
 
-A stream that breaks goes on at another instance if its route allows it: behind the last
-event that was passed on whole, inside the same answer. Any other broken stream ends
-with its connection, so that it can't be taken for a whole one.
+If the route allows resumption, a broken stream is resumed at another instance after the
+last forwarded event, within the same answer. Any other broken stream ends by closing
+the caller's connection, so that the caller can't take the stream for a complete one.
 """
 
 from __future__ import annotations
@@ -44,17 +44,17 @@
     final_answer,
     healthy_instances,
 )
-from ._upstream_call import judge_head, note_conduct
+from ._upstream_call import check_head, record_outcome
 
 
 class StreamSink(Protocol):
-    """The way back to the caller."""
+    """Receiver of a streamed answer, usually the caller's connection."""
 
     def begin(self, status: int, fields: Fields) -> None:
         """Send the head of the answer."""
 
     async def write(self, part: bytes) -> None:
-        """Send a part, and wait while the caller doesn't read."""
+        """Send a part of the body; wait while the caller's buffer is full."""
 
     def finish(self) -> None:
         """Send the end of the answer."""
@@ -63,26 +63,26 @@
 class StreamEnd(Enum):
     """How a caller's stream ended."""
 
-    # Whole.
+    # Complete.
     WHOLE = "whole"
-    # Broken off behind its head.
+    # Broken after the head of the answer was sent.
     BROKEN_OFF = "broken-off"
 
 
 @attrs.define
 class _Progress:
-    """What the caller has had of a stream."""
+    """What the caller has received of a stream."""
 
-    # Where events go.
+    # Receiver of the events.
     sink: StreamSink
-    # Number of the last event; None before the first.
+    # Id of the last event that the caller has; None before the first.
     last_event: int | None
-    # Whether the head has been sent.
+    # Whether the head of the answer has been sent.
     is_begun: bool = False
 
 
 class StreamForwarder:
-    """Sends streaming requests to instances."""
+    """Sends streaming requests to instances, with retries and resumption."""
 
     def __init__(
         self,
@@ -102,7 +102,7 @@
     async def forward(
         self, call: ForwardedCall, sink: StreamSink
     ) -> StreamEnd | Response | Refusal:
-        """Pass a stream on; return its end, or the answer to send if none began."""
+        """Forward a stream; return its end, or the answer to send if none began."""
         loop = asyncio.get_running_loop()
         route = call.route
         upstream = choose_upstream(route, call.request_id)
@@ -153,7 +153,7 @@
         progress: _Progress,
         attempt: int,
     ) -> Response | Refusal | None:
-        """Return None if the stream is whole now, else what ended the try."""
+        """Return None if the stream is now complete, else what ended the try."""
         loop = asyncio.get_running_loop()
         begun_s = loop.time()
         resumed_after = progress.last_event
@@ -163,7 +163,7 @@
             answer = await self._exchange(call, policy, handle, progress)
         finally:
             record.outstanding -= 1
-        outcome = "whole" if answer is None else _outcome(answer)
+        outcome = "whole" if answer is None else _log_outcome(answer)
         self._metrics.tried(outcome)
         self._log.info(
             "stream-tried",
@@ -196,7 +196,7 @@
         head: ResponseHead | None = None
         answer: Response | Refusal | None = None
         try:
-            exchange = _send(connection, call, handle.id, progress)
+            exchange = _start_exchange(connection, call, handle.id, progress)
             reader = _StreamReader(call, policy, exchange, progress)
             answer = await reader.run()
             head = exchange.response
@@ -208,15 +208,15 @@
         finally:
             pool.release(connection)
         fault = answer if isinstance(answer, Refusal) else None
-        note_conduct(self._view, handle, head, fault, loop.time())
+        record_outcome(self._view, handle, head, fault, loop.time())
         return answer
 
 
-def _outcome(answer: Response | Refusal) -> str:
+def _log_outcome(answer: Response | Refusal) -> str:
     return answer.kind.value if isinstance(answer, Refusal) else str(answer.status)
 
 
-def _send(
+def _start_exchange(
     connection: ClientConnection,
     call: ForwardedCall,
     instance_id: str,
@@ -224,17 +224,20 @@
 ) -> Exchange:
     request = call.request
     remaining_s = call.deadline_s - asyncio.get_running_loop().time()
-    kept = end_to_end(request.fields)
+    forwarded = end_to_end(request.fields)
     if progress.last_event is not None:
         resumed = resume_fields(progress.last_event)
         replaced = {name.lower() for name, _ in resumed}
-        kept = (*(item for item in kept if item[0].lower() not in replaced), *resumed)
-    fields = request_fields(kept, instance_id, remaining_s, call.request_id)
+        forwarded = (
+            *(item for item in forwarded if item[0].lower() not in replaced),
+            *resumed,
+        )
+    fields = request_fields(forwarded, instance_id, remaining_s, call.request_id)
     return connection.start(request.method, request.target, fields, request.body)
 
 
 class _StreamReader:
-    """Reads one try's answer and passes its whole events on."""
+    """Reads the answer of one try and forwards its complete events."""
 
     def __init__(
         self,
@@ -250,30 +253,30 @@
         self._decoder = EventDecoder()
 
     async def run(self) -> Response | Refusal | None:
-        """Read to the end of the stream, or to what ends it sooner."""
+        """Read until the stream ends; return None if it is complete, else the cause."""
         try:
-            async with asyncio.timeout(self._silence_s()):
+            async with asyncio.timeout(self._event_timeout_s()):
                 head = await self._exchange.head()
         except TimeoutError:
             return refuse(ErrorKind.UPSTREAM_LOST, "no head in time")
         if isinstance(head, Refusal):
             return head
-        fault = judge_head(head, self._call.request_id)
+        fault = check_head(head, self._call.request_id)
         if fault is not None:
             return fault
         if head.status != 200:
-            return await self._whole(head)
-        return await self._pass_on(head)
+            return await self._read_complete(head)
+        return await self._forward_events(head)
 
-    def _silence_s(self) -> float:
+    def _event_timeout_s(self) -> float:
         remaining_s = self._call.deadline_s - asyncio.get_running_loop().time()
         return stream_silence_s(self._policy, self._progress.is_begun, remaining_s)
 
-    async def _whole(self, head: ResponseHead) -> Response | Refusal:
-        """Return an answer that is no stream."""
+    async def _read_complete(self, head: ResponseHead) -> Response | Refusal:
+        """Read an answer whose status isn't 200, which is not a stream."""
         parts: list[bytes] = []
         try:
-            async with asyncio.timeout(self._silence_s()):
+            async with asyncio.timeout(self._event_timeout_s()):
                 while isinstance(part := await self._exchange.read(), bytes):
                     parts.append(part)
         except TimeoutError:
@@ -282,44 +285,46 @@
             return part
         return Response(head.status, head.fields, b"".join(parts))
 
-    async def _pass_on(self, head: ResponseHead) -> Refusal | None:
+    async def _forward_events(self, head: ResponseHead) -> Refusal | None:
         while True:
             try:
-                async with asyncio.timeout(self._silence_s()):
+                async with asyncio.timeout(self._event_timeout_s()):
                     chunk = await self._exchange.read()
             except TimeoutError:
                 return refuse(ErrorKind.UPSTREAM_LOST, "no event in time")
             if isinstance(chunk, Refusal):
                 return chunk
             if chunk is None:
-                return self._ended(head)
+                return self._end_stream(head)
             events = self._decoder.feed(chunk)
             if events is None:
                 return refuse(ErrorKind.UPSTREAM_LOST, "bytes that are no events")
             for event in events:
-                fault = await self._add(event, head)
+                fault = await self._forward_event(event, head)
                 if fault is not None:
                     return fault
 
-    def _ended(self, head: ResponseHead) -> Refusal | None:
+    def _end_stream(self, head: ResponseHead) -> Refusal | None:
         is_framed = self._exchange.is_framed and self._decoder.is_between_events
         if not is_framed or self._progress.last_event is None:
             return refuse(ErrorKind.UPSTREAM_LOST, "the stream's end can't be trusted")
-        self._begin(head)
+        self._send_head(head)
         return None
 
-    def _begin(self, head: ResponseHead) -> None:
-        """Send the head; that of the first instance stays for the whole answer."""
+    def _send_head(self, head: ResponseHead) -> None:
+        """Send the head unless that of an earlier instance has been sent."""
         if not self._progress.is_begun:
             self._progress.is_begun = True
             self._progress.sink.begin(head.status, end_to_end(head.fields))
 
-    async def _add(self, event: StreamEvent, head: ResponseHead) -> Refusal | None:
+    async def _forward_event(
+        self, event: StreamEvent, head: ResponseHead
+    ) -> Refusal | None:
         last = self._progress.last_event
         if last is not None and event.number != last + 1:
             reason = f"event {event.number} after {last}"
             return refuse(ErrorKind.UPSTREAM_LOST, reason)
-        self._begin(head)
+        self._send_head(head)
         self._progress.last_event = event.number
         await self._progress.sink.write(event.raw)
         return None
--- a/pistachioglade/forwarding/_upstream_call.py
+++ b/pistachioglade/forwarding/_upstream_call.py
@@ -1,4 +1,4 @@
-"""One request at one instance, judged by what the answer shows."""
+"""Sends one request to one instance and classifies the answer."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 )
 from ._fleet_view import FleetView, InstanceHandle
 
-#: Statuses that promise that a request did not run; an engine's own answer with one
-#: of these but without its mark may have run.
-_PROMISES = frozenset({408, 421, 429, 503})
+#: Statuses that say that a request did not run. Without the header field that confirms
+#: it, an answer with one of these may come from a request that ran.
+_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
 
 async def call_instance(
@@ -29,9 +29,9 @@
     request_id: str,
     remaining_s: float,
 ) -> Response | Refusal:
-    """Return the instance's whole answer, or what is known of the request's fate.
+    """Return the instance's complete answer, or a refusal if there is none.
 
-    A refusal says NOT_RUN only if nothing was sent or the instance said so.
+    The refusal says NOT_RUN only if nothing was sent or the instance said so.
     """
     record = handle.record
     loop = asyncio.get_running_loop()
@@ -42,15 +42,15 @@
         answer = refuse(ErrorKind.UPSTREAM_LOST, f"no answer in {remaining_s:.3f} s")
     finally:
         record.outstanding -= 1
-    judged = _judge(answer, request_id)
-    note_conduct(
+    checked = _check_answer(answer, request_id)
+    record_outcome(
         view,
         handle,
         answer if isinstance(answer, Response) else None,
-        judged if isinstance(judged, Refusal) else None,
+        checked if isinstance(checked, Refusal) else None,
         loop.time(),
     )
-    return judged
+    return checked
 
 
 async def _exchange(
@@ -79,33 +79,33 @@
         return answer
 
 
-def _judge(answer: Response | Refusal, request_id: str) -> Response | Refusal:
+def _check_answer(answer: Response | Refusal, request_id: str) -> Response | Refusal:
     if isinstance(answer, Refusal):
         return answer
-    return judge_head(answer, request_id) or answer
+    return check_head(answer, request_id) or answer
 
 
-def judge_head(head: Response | ResponseHead, request_id: str) -> Refusal | None:
-    """Return why an answer doesn't count; None if it does."""
+def check_head(head: Response | ResponseHead, request_id: str) -> Refusal | None:
+    """Return why an answer is rejected; None if it is accepted."""
     if not belongs_to(head, request_id):
         return refuse(ErrorKind.UPSTREAM_LOST, "an answer to another request")
     if did_not_run(head):
         return refuse(ErrorKind.OVERLOADED, f"instance refused with {head.status}")
     if head.status < 300 and not is_signed(head):
         return refuse(ErrorKind.UPSTREAM_LOST, "an answer without its signature")
-    if head.status in _PROMISES:
+    if head.status in _NOT_RUN_STATUSES:
         return refuse(ErrorKind.UPSTREAM_LOST, f"an unmarked {head.status}")
     return None
 
 
-def note_conduct(
+def record_outcome(
     view: FleetView,
     handle: InstanceHandle,
     head: Response | ResponseHead | None,
     fault: Refusal | None,
     now_s: float,
 ) -> None:
-    """Enter in an instance's record how it has answered."""
+    """Record the load that an instance reported and how the instance answered."""
     record = handle.record
     load = None if head is None else instance_load(head)
     if load is not None:
@@ -126,15 +126,15 @@
     now_s: float,
     model: str | None = None,
 ) -> InstanceRefusal:
-    """Enter in an instance's record why it did not run a request; return the reason.
+    """Record why an instance did not run a request; return the reason.
 
-    No request here is tied to a weight version.
+    Requests that are forwarded this way are never tied to a weight version.
     """
     load = instance_load(head)
     free_slots = None if load is None else load.slots - load.running - load.waiting
     kind = kind_of_refusal(is_misdirected(head), False, free_slots)
     if kind is InstanceRefusal.ABSENT:
-        view.note_absent(handle)
+        view.mark_absent(handle)
     else:
         handle.record.refused(kind, now_s, model)
     return kind
--- a/pistachioglade/forwarding/tests/test_crashes.py
+++ b/pistachioglade/forwarding/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""Quarantine of lookups and streams at one entry."""
+"""Tests of the quarantine of lookups and streams at one entry."""
 
 from __future__ import annotations
 
--- a/pistachioglade/forwarding/tests/test_events.py
+++ b/pistachioglade/forwarding/tests/test_events.py
@@ -1,4 +1,4 @@
-"""Events of a stream, cut at any byte."""
+"""Tests of the event decoder with chunks split at any byte."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 @given(st.sets(st.integers(0, len(_STREAM))))
-def test_any_cut_gives_the_same_events(cuts: set[int]) -> None:
+def test_chunk_boundaries_do_not_change_the_events(cuts: set[int]) -> None:
     decoder = EventDecoder()
     bounds = [0, *sorted(cuts), len(_STREAM)]
     events: list[StreamEvent] = []
@@ -37,7 +37,7 @@
 
 
 @given(st.integers(1, len(_STREAM) - 1))
-def test_a_stream_that_ends_inside_an_event_shows_it(end: int) -> None:
+def test_a_stream_that_ends_inside_an_event_is_detected(end: int) -> None:
     decoder = EventDecoder()
     decoder.feed(_STREAM[:end])
     is_whole = _STREAM[:end].endswith(b"\n\n")
@@ -48,10 +48,10 @@
     "block",
     [b"data: no number\n\n", b"id: x\ndata: a\n\n", b"\xff\xfe\n\n", b"{}\n\n"],
 )
-def test_bytes_that_are_no_events(block: bytes) -> None:
+def test_malformed_bytes_are_rejected(block: bytes) -> None:
     assert EventDecoder().feed(block) is None
 
 
-def test_line_ends_of_two_bytes() -> None:
+def test_crlf_line_endings_are_accepted() -> None:
     events = EventDecoder().feed(b"id: 4\r\ndata: x\r\n\r\n")
     assert events == [StreamEvent(4, "x", None)]
--- a/pistachioglade/forwarding/tests/test_fleet_view.py
+++ b/pistachioglade/forwarding/tests/test_fleet_view.py
@@ -1,4 +1,4 @@
-"""The list of instances around outages of the store."""
+"""Tests of the fleet view: store outages, entries of other writers and restarts."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 @pytest.mark.parametrize(
     ("returned_s", "removed_s", "at_s", "is_open"),
     [
-        # No outage: gone at once.
+        # Without a recent outage the instance is removed at once.
         (None, 24.9, 24.9, False),
         (10.0, 24.9, 24.9, False),
-        # It left the list in an outage, and may be back soon.
+        # The instance left the list around an outage and may soon be listed again.
         (23.6, 23.7, 25.7, True),
         (23.6, 23.7, 25.81, False),
-        # It left unannounced just behind an outage that this node alone had, and gets
-        # nothing more 2 s later (DRAIN, jalrekha-ops trouble-1, seed 101): the last
-        # call had failed at 23.5 s, and the next is answered 0.75 s later at most.
+        # The instance left unannounced just after an outage that only this node saw,
+        # and must get no requests 2 s later. This node's last call to the store failed
+        # at 23.5 s, and the next is answered at most 0.75 s later, at 24.25 s.
         (24.25, 24.909, 26.9, False),
     ],
 )
-def test_instances_that_leave_the_list_around_an_outage(
+def test_instances_unlisted_around_an_outage_stay_open_for_a_grace_period(
     returned_s: float | None, removed_s: float, at_s: float, is_open: bool
 ) -> None:
     async def work() -> None:
@@ -49,7 +49,7 @@
     run(work)
 
 
-def test_the_time_of_an_instance_that_is_in_use_unlisted_is_seen() -> None:
+def test_longest_lapse_is_the_time_of_use_while_unlisted() -> None:
     async def work() -> None:
         now_s = 0.0
         view = FleetView(lambda: 0.0)
@@ -73,13 +73,13 @@
         (["ready", "resting", "ready"], True),
         (["resting", "ready"], True),
         (["ready", "draining"], False),
-        # What is known to leave stays out, whoever wrote the later entries.
+        # An instance that is shutting down stays closed, whoever writes later entries.
         (["ready", "draining", "resting"], False),
         (["ready", "draining", "ready"], False),
         (["ready", "draining", "resting", "ready"], False),
     ],
 )
-def test_entries_that_another_writer_left(
+def test_unreadable_and_draining_entries_close_an_instance(
     states: list[str | None], is_open: bool
 ) -> None:
     async def work() -> None:
@@ -98,7 +98,7 @@
     run(work)
 
 
-def _run_of(born: Any, version: int, state: str = "ready") -> dict[str, Any]:
+def _entry_value(born: Any, version: int, state: str = "ready") -> dict[str, Any]:
     models = [{"name": "m", "version": version}]
     value = instance_entry("lm", models=models, state=state)
     return value if born is None else value | {"born": born}
@@ -107,25 +107,25 @@
 @pytest.mark.parametrize(
     ("entries", "version", "is_open"),
     [
-        # The same run: the highest version that was seen counts.
-        ([_run_of(5, 3), _run_of(5, 2)], 3, True),
-        # It started again, and holds what it held at its start.
-        ([_run_of(5, 3), _run_of(6, 1)], 1, True),
-        # It announced its leaving, ended, and started again.
-        ([_run_of(5, 3, "draining"), _run_of(6, 1)], 1, True),
-        # What comes late from the earlier run is dropped, its leaving too.
-        ([_run_of(6, 1), _run_of(5, 3)], 1, True),
-        ([_run_of(6, 1), _run_of(5, 3, "draining")], 1, True),
-        # An entry without a run, or with one that is no number, is another writer's.
-        ([_run_of(5, 3), _run_of(None, 3)], 3, False),
-        ([_run_of(5, 3), _run_of("6", 1)], 3, False),
-        ([_run_of(5, 3), _run_of(None, 3), _run_of(5, 3)], 3, True),
+        # Same run: the highest version seen counts.
+        ([_entry_value(5, 3), _entry_value(5, 2)], 3, True),
+        # Restart: the versions of the new run count.
+        ([_entry_value(5, 3), _entry_value(6, 1)], 1, True),
+        # Restart after an announced shutdown.
+        ([_entry_value(5, 3, "draining"), _entry_value(6, 1)], 1, True),
+        # A late entry of the earlier run is ignored, even one that announces shutdown.
+        ([_entry_value(6, 1), _entry_value(5, 3)], 1, True),
+        ([_entry_value(6, 1), _entry_value(5, 3, "draining")], 1, True),
+        # An entry whose run is missing or not a number is unreadable.
+        ([_entry_value(5, 3), _entry_value(None, 3)], 3, False),
+        ([_entry_value(5, 3), _entry_value("6", 1)], 3, False),
+        ([_entry_value(5, 3), _entry_value(None, 3), _entry_value(5, 3)], 3, True),
         # Instances that never name their run.
-        ([_run_of(None, 3), _run_of(None, 2)], 3, True),
-        ([_run_of(None, 3), _run_of(5, 3)], 3, True),
+        ([_entry_value(None, 3), _entry_value(None, 2)], 3, True),
+        ([_entry_value(None, 3), _entry_value(5, 3)], 3, True),
     ],
 )
-def test_second_starts_under_one_id(
+def test_entries_are_matched_to_the_run_of_an_instance(
     entries: list[dict[str, Any]], version: int, is_open: bool
 ) -> None:
     async def work() -> None:
@@ -138,16 +138,16 @@
     run(work)
 
 
-def test_a_second_start_forgets_conduct_and_ends_connections() -> None:
+def test_a_restart_discards_the_record_and_closes_connections() -> None:
     async def work() -> None:
         view = FleetView(lambda: None)
-        view.take_instance(Entry("i-1", 1, _run_of(5, 3), None), False)
+        view.take_instance(Entry("i-1", 1, _entry_value(5, 3), None), False)
         view.records["i-1"].failed(100.0)
         view.records["i-1"].told_load(7, 1, 100.0)
         pool = view.pools["i-1"]
         connection = ClientConnection()
         pool._busy.add(connection)
-        view.take_instance(Entry("i-1", 2, _run_of(6, 1), None), False)
+        view.take_instance(Entry("i-1", 2, _entry_value(6, 1), None), False)
         assert connection.is_closed
         assert view.pools["i-1"] is not pool
         assert not view.records["i-1"].is_resting(100.0)
