--- a/pistachioglade/weights/tests/__init__.py
+++ b/pistachioglade/weights/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the orders to engines."""
+"""Tests of the weight orders to engines."""
--- a/pistachioglade/weights/tests/test_turns.py
+++ b/pistachioglade/weights/tests/test_turns.py
@@ -1,7 +1,9 @@
-"""Orders of several holders to one engine, played in virtual time.
+"""Tests of orders from several processes to one engine, in virtual time.
 
-Engines without a process of ours beside them got no weights: from the third version on
-no step could run there ("0 orders, 0 loads" on a fleet of entries and disks only).
+They guard against two faults: orders of two holders that alternate within a lease, and
+engines without a process of this service beside them that get no weights. A fleet with
+entries and storage nodes only had 0 orders and 0 loads, and from the third version on
+no step could run there.
 """
 
 from __future__ import annotations
@@ -22,20 +24,20 @@
 from .. import EngineOrders, OrderLease, OrderStep, Progress
 
 LEASE_S = 3.0
-#: Time between two named versions.
-NAMED_EACH_S = 2.0
-#: Length of a play.
-DAY_S = 40.0
+#: Time between two named versions, in seconds.
+VERSION_INTERVAL_S = 2.0
+#: Duration of each simulation, in seconds.
+DURATION_S = 40.0
 
 
 class Store:
-    """Objects in memory with conditional writes, whose answers may be lost."""
+    """In-memory store with conditional writes, whose answers may be lost."""
 
     def __init__(self) -> None:
         self._entries: dict[str, Entry] = {}
         self._revisions = count(1)
         self.calls = 0
-        # How many of the next answers are lost behind a write that is made.
+        # Number of following writes that take effect but whose answers are lost.
         self.lost_answers = 0
 
     async def _answer(self, entry: Entry) -> Entry | Refusal:
@@ -50,8 +52,8 @@
         self, kind: str, name: str, value: Any, within_s: float
     ) -> Entry | Refusal:
         self.calls += 1
-        made = Entry(name, next(self._revisions), value, None)
-        return await self._answer(self._entries.setdefault(name, made))
+        created = Entry(name, next(self._revisions), value, None)
+        return await self._answer(self._entries.setdefault(name, created))
 
     async def replace(
         self, kind: str, name: str, value: Any, revision: int | None
@@ -65,20 +67,20 @@
 
 @attrs.frozen
 class Order:
-    """An order that an engine has taken."""
+    """An order that an engine has accepted."""
 
-    # When it came.
+    # Virtual time of arrival, in seconds.
     at_s: float
-    # Who sent it.
+    # Node that sent the order.
     holder: str
-    # Its fencing token.
+    # Fencing token of the order.
     fence: int
-    # The version.
+    # Ordered version.
     version: int
 
 
 class Engine:
-    """Stands in for the connections to one engine."""
+    """Stand-in for the connection pool of one engine and for the engine itself."""
 
     host = "10.0.0.9"
     port = 80
@@ -96,7 +98,7 @@
         await asyncio.sleep(0.003)
         if path == names.ENGINE_STATE_PATH:
             return Response(200, (), json.dumps(self._report()).encode())
-        return Response(self._take(json.loads(body)))
+        return Response(self._accept(json.loads(body)))
 
     def _report(self) -> dict[str, Any]:
         return {
@@ -105,7 +107,7 @@
             "sequence": len(self.orders),
         }
 
-    def _take(self, order: dict[str, Any]) -> int:
+    def _accept(self, order: dict[str, Any]) -> int:
         if self._checks_fences and order["fencing-token"] < self._fence:
             return 412
         if now_s() < self._busy_until_s or order["expect"] != len(self.orders):
@@ -113,13 +115,13 @@
         self._fence = order["fencing-token"]
         self._busy_until_s = now_s() + 0.9
         self.version = order["version"]
-        taken = Order(now_s(), order["holder"], self._fence, self.version)
-        self.orders.append(taken)
+        accepted = Order(now_s(), order["holder"], self._fence, self.version)
+        self.orders.append(accepted)
         return 202
 
 
 class Holder:
-    """A process that orders the engine whenever it runs."""
+    """A process that orders the engine while ``is_running`` is set."""
 
     def __init__(
         self,
@@ -128,9 +130,9 @@
         store: Store,
         is_beside: bool,
         checks: bool,
-        is_held: Callable[[str], Awaitable[bool]] | None = None,
+        is_holder_active: Callable[[str], Awaitable[bool]] | None = None,
     ) -> None:
-        self._is_held = is_held
+        self._is_holder_active = is_holder_active
         self._node = node
         self._engine = engine
         self._store = store
@@ -141,7 +143,7 @@
         self.start()
 
     def start(self) -> None:
-        """Begin anew, as a process that starts again."""
+        """Start or restart the process, with a new lease object."""
         self._lease = OrderLease(
             self._store,  # type: ignore[arg-type]
             "10.0.0.9:80",
@@ -150,14 +152,14 @@
             self._is_beside,
             LEASE_S,
             self._checks,
-            self._is_held,
+            self._is_holder_active,
         )
         self._orders = EngineOrders(
             self._engine,  # type: ignore[arg-type]
             self._node,
             self._lease,
             self._rank,
-            skips=False,
+            skips_versions=False,
         )
 
     async def release(self) -> None:
@@ -169,15 +171,15 @@
     async def run(self) -> None:
         while True:
             if self.is_running:
-                self._orders.want("m", 1 + int(now_s() / NAMED_EACH_S))
+                self._orders.want("m", 1 + int(now_s() / VERSION_INTERVAL_S))
                 step = await self._orders.step()
             else:
                 step = OrderStep(Progress.CURRENT)
             await asyncio.sleep(max(0.2, min(1.0, step.wait_s)))
 
 
-def assert_turns(orders: list[Order]) -> None:
-    """Check what is promised of the orders that an engine has taken."""
+def assert_order_spacing(orders: list[Order]) -> None:
+    """Check that tokens ascend and that changes of holder are a lease apart."""
     for earlier, later in pairwise(orders):
         assert later.fence >= earlier.fence, (earlier, later)
         if later.holder != earlier.holder:
@@ -185,8 +187,8 @@
             assert later.at_s - earlier.at_s >= LEASE_S, (earlier, later)
 
 
-async def _rest(tasks: list[asyncio.Task[None]]) -> None:
-    await until(DAY_S)
+async def _finish(tasks: list[asyncio.Task[None]]) -> None:
+    await until(DURATION_S)
     for task in tasks:
         assert not task.done()
         task.cancel()
@@ -196,9 +198,9 @@
     async def work() -> None:
         engine, store = Engine(True), Store()
         entry = Holder("entry", engine, store, is_beside=False, checks=True)
-        await _rest([asyncio.create_task(entry.run())])
-        assert engine.version >= DAY_S / NAMED_EACH_S
-        assert_turns(engine.orders)
+        await _finish([asyncio.create_task(entry.run())])
+        assert engine.version >= DURATION_S / VERSION_INTERVAL_S
+        assert_order_spacing(engine.orders)
 
     run_virtual(work)
 
@@ -207,35 +209,38 @@
     async def work() -> None:
         engine, store = Engine(True), Store()
         beside = Holder("beside", engine, store, is_beside=True, checks=True)
-        await _rest([asyncio.create_task(beside.run())])
-        assert engine.version >= DAY_S / NAMED_EACH_S
+        await _finish([asyncio.create_task(beside.run())])
+        assert engine.version >= DURATION_S / VERSION_INTERVAL_S
         assert store.calls == 1
 
     run_virtual(work)
 
 
-#: Moments at which the process beside the engine is lost and comes back: each tenth of
-#: the time between two versions, and times behind it before, within and past a lease.
-_MOMENTS = [
-    (10.0 + tenth / 10 * NAMED_EACH_S, 10.0 + tenth / 10 * NAMED_EACH_S + away_s)
+#: Times at which the process beside the engine stops and returns: a stop at each tenth
+#: of the time between two versions, and absences shorter and longer than a lease.
+_ABSENCES = [
+    (
+        10.0 + tenth / 10 * VERSION_INTERVAL_S,
+        10.0 + tenth / 10 * VERSION_INTERVAL_S + away_s,
+    )
     for tenth, away_s in product(range(10), (0.3, 1.0, 3.0, 5.2, 7.0, 12.0))
 ]
 
 
 @pytest.mark.parametrize("is_killed", [True, False])
 @pytest.mark.parametrize("checks", [True, False])
-def test_holders_of_one_engine_take_turns(checks: bool, is_killed: bool) -> None:
-    """The process beside is lost, killed or frozen, and returns at every moment."""
+def test_holders_of_one_engine_are_a_lease_apart(checks: bool, is_killed: bool) -> None:
+    """The process beside the engine is killed or frozen, and returns later."""
 
-    async def play(lost_s: float, back_s: float) -> None:
+    async def simulate(stopped_s: float, back_s: float) -> None:
         engine, store = Engine(checks), Store()
         beside = Holder("beside", engine, store, is_beside=True, checks=checks)
         entry = Holder("entry", engine, store, is_beside=False, checks=checks)
         entry.is_running = False
         tasks = [asyncio.create_task(item.run()) for item in (beside, entry)]
-        await until(lost_s)
+        await until(stopped_s)
         beside.is_running = False
-        # As the announcer and its probe find out.
+        # Time until the announcer's probe detects the change.
         await asyncio.sleep(0.5)
         entry.is_running = True
         await until(max(back_s, now_s()))
@@ -244,19 +249,21 @@
         beside.is_running = True
         await asyncio.sleep(0.5)
         entry.is_running = False
-        await _rest(tasks)
-        assert_turns(engine.orders)
-        assert engine.version >= DAY_S / NAMED_EACH_S, (lost_s, back_s)
+        await _finish(tasks)
+        assert_order_spacing(engine.orders)
+        assert engine.version >= DURATION_S / VERSION_INTERVAL_S, (stopped_s, back_s)
 
-    for lost_s, back_s in _MOMENTS:
-        run_virtual(lambda lost_s=lost_s, back_s=back_s: play(lost_s, back_s))
+    for stopped_s, back_s in _ABSENCES:
+        run_virtual(
+            lambda stopped_s=stopped_s, back_s=back_s: simulate(stopped_s, back_s)
+        )
 
 
 @pytest.mark.parametrize("lost_answers", [0, 1, 2])
-def test_two_entries_that_both_attend_an_engine(lost_answers: int) -> None:
-    """Entries whose lists differ for a while: the lease decides, at every moment."""
+def test_orders_of_two_entries_are_a_lease_apart(lost_answers: int) -> None:
+    """Two entries with different lists order one engine; the lease decides."""
 
-    async def play(begin_s: float, both_s: float) -> None:
+    async def simulate(begin_s: float, both_s: float) -> None:
         engine, store = Engine(False), Store()
         first = Holder("first", engine, store, is_beside=False, checks=False)
         second = Holder("second", engine, store, is_beside=False, checks=False)
@@ -267,17 +274,17 @@
         store.lost_answers = lost_answers
         await asyncio.sleep(both_s)
         first.is_running = False
-        await _rest(tasks)
-        assert_turns(engine.orders)
-        assert engine.version >= DAY_S / NAMED_EACH_S, (begin_s, both_s)
+        await _finish(tasks)
+        assert_order_spacing(engine.orders)
+        assert engine.version >= DURATION_S / VERSION_INTERVAL_S, (begin_s, both_s)
 
     for tenth, both_s in product(range(10), (0.0, 0.7, 4.0)):
-        begin_s = 10.0 + tenth / 10 * NAMED_EACH_S
-        run_virtual(lambda begin_s=begin_s, both_s=both_s: play(begin_s, both_s))
+        begin_s = 10.0 + tenth / 10 * VERSION_INTERVAL_S
+        run_virtual(lambda begin_s=begin_s, both_s=both_s: simulate(begin_s, both_s))
 
 
-def test_an_engine_that_does_not_check_fences_keeps_its_frozen_holder() -> None:
-    """Nothing would stop that holder when it wakes, so nobody takes its lease."""
+def test_a_frozen_holder_keeps_an_engine_that_does_not_check_fencing_tokens() -> None:
+    """Nothing would stop a resumed holder, so no other process takes its lease."""
 
     async def work() -> None:
         engine, store = Engine(False), Store()
@@ -287,17 +294,19 @@
         tasks = [asyncio.create_task(item.run()) for item in (beside, entry)]
         await until(10.1)
         beside.is_running, entry.is_running = False, True
-        await _rest(tasks)
+        await _finish(tasks)
         assert {order.holder for order in engine.orders} == {"beside"}
 
     run_virtual(work)
 
 
 @pytest.mark.parametrize("lost_answers", [0, 1])
-def test_a_released_lease_passes_on_within_its_turn(lost_answers: int) -> None:
-    """Entries that stop one after the other: each engine lost 5 s with each of them."""
+def test_a_released_lease_is_taken_over_without_the_full_wait(
+    lost_answers: int,
+) -> None:
+    """Guards against a wait of 5 s for each entry in a rolling stop of entries."""
 
-    async def play(begin_s: float) -> None:
+    async def simulate(begin_s: float) -> None:
         engine, store = Engine(False), Store()
         first = Holder("first", engine, store, is_beside=False, checks=False)
         second = Holder("second", engine, store, is_beside=False, checks=False)
@@ -305,7 +314,7 @@
         tasks = [asyncio.create_task(item.run()) for item in (first, second)]
         await until(begin_s)
         first.is_running = False
-        # A step that had begun is over by then.
+        # A step in progress ends within this time.
         await asyncio.sleep(0.2)
         store.lost_answers = lost_answers
         await first.release()
@@ -313,43 +322,46 @@
         await asyncio.sleep(LEASE_S + 2.5)
         if not lost_answers:
             assert engine.orders[-1].holder == "second"
-        await _rest(tasks)
-        assert_turns(engine.orders)
+        await _finish(tasks)
+        assert_order_spacing(engine.orders)
 
     for tenth in range(10):
-        begin_s = 10.0 + tenth / 10 * NAMED_EACH_S
-        run_virtual(lambda begin_s=begin_s: play(begin_s))
+        begin_s = 10.0 + tenth / 10 * VERSION_INTERVAL_S
+        run_virtual(lambda begin_s=begin_s: simulate(begin_s))
 
 
 @pytest.mark.parametrize("is_alive", [True, False])
-def test_an_engine_stays_with_a_holder_that_lives(is_alive: bool) -> None:
-    """Entries whose lists differ took an engine from each other, 5 s a time."""
+def test_a_lease_is_taken_over_only_from_a_dead_holder(is_alive: bool) -> None:
+    """Guards against live entries that take over one engine from each other.
+
+    Entries with different lists of entries did so, and each takeover cost 5 s.
+    """
 
     async def work() -> None:
         engine, store = Engine(True), Store()
         first = Holder("first", engine, store, is_beside=False, checks=True)
         asked: list[str] = []
 
-        async def is_held(holder: str) -> bool:
+        async def is_holder_active(holder: str) -> bool:
             asked.append(holder)
             return is_alive
 
-        second = Holder("second", engine, store, False, True, is_held)
+        second = Holder("second", engine, store, False, True, is_holder_active)
         second.is_running = False
         tasks = [asyncio.create_task(item.run()) for item in (first, second)]
         await until(10.0)
         second.is_running = True
         first.is_running = is_alive
-        await _rest(tasks)
+        await _finish(tasks)
         assert set(asked) == {"first"}
         assert engine.orders[-1].holder == ("first" if is_alive else "second")
-        assert_turns(engine.orders)
+        assert_order_spacing(engine.orders)
 
     run_virtual(work)
 
 
-def test_a_holder_that_starts_again_orders_at_once() -> None:
-    """All processes lose their power: engines waited 5 s more for their weights."""
+def test_a_restarted_holder_orders_without_a_wait() -> None:
+    """Guards against a wait of 5 s for weights after all processes restarted."""
 
     async def work() -> None:
         engine, store = Engine(True), Store()
@@ -364,7 +376,7 @@
         before = len(engine.orders)
         await asyncio.sleep(2.5)
         assert len(engine.orders) > before
-        await _rest(tasks)
-        assert_turns(engine.orders)
+        await _finish(tasks)
+        assert_order_spacing(engine.orders)
 
     run_virtual(work)
