--- a/pistachioglade/forwarding/_stream.py
+++ b/pistachioglade/forwarding/_stream.py
@@ -54,7 +54,7 @@
         """Send the head of the answer."""
 
     async def write(self, part: bytes) -> None:
-        """Send a part of the body; wait while the caller's buffer is full."""
+        """Send a part of the body; wait while the write buffer is full."""
 
     def finish(self) -> None:
         """Send the end of the answer."""
--- a/pistachioglade/forwarding/_upstream_call.py
+++ b/pistachioglade/forwarding/_upstream_call.py
@@ -68,7 +68,7 @@
             exchange = connection.start(
                 request.method, request.target, fields, request.body
             )
-            answer = await exchange.whole()
+            answer = await exchange.read_response()
         except BaseException:
             connection.close()
             raise
--- a/pistachioglade/http1/_client.py
+++ b/pistachioglade/http1/_client.py
@@ -1,4 +1,4 @@
-"""Client connections: one exchange at a time, every framing fault told apart."""
+"""HTTP/1.1 client connections that run one exchange at a time."""
 
 from __future__ import annotations
 
@@ -12,27 +12,29 @@
 from ..errors import ErrorKind, Refusal, refuse
 from ._messages import Fields, Response, ResponseHead, head_bytes
 
-#: Unread bytes of a body at which reading from the peer pauses.
+#: Buffered bytes of a body above which reading from the peer pauses.
 _HIGH_WATER_BYTES: Final = 512 * 1024
-#: Milliseconds without an acknowledged byte after which the kernel gives a peer up.
-_SILENCE_MS: Final = 2500
+#: Time without acknowledgement of sent data after which the kernel closes the
+#: connection, in milliseconds.
+_USER_TIMEOUT_MS: Final = 2500
 
 
 class Exchange:
-    """The answer to one request, as it arrives."""
+    """The answer to one request while the answer arrives."""
 
     def __init__(self, connection: ClientConnection) -> None:
         self._connection = connection
         self._chunks: deque[bytes] = deque()
         self._buffered = 0
         self._waiter: asyncio.Future[None] | None = None
-        # Set once the status line and fields have come.
+        # Status line and header fields; None until they have arrived.
         self.response: ResponseHead | None = None
-        # Set when the answer is complete by its own framing.
+        # Whether the answer is complete according to its framing.
         self.is_complete = False
-        # Set when the answer can't become complete any more.
+        # Reason why the answer can't be completed; None while it can.
         self.failure: Refusal | None = None
-        # Whether the answer had a length or chunks, so that its end can be trusted.
+        # Whether the answer has a length or chunks. Without either, a lost connection
+        # looks like the end of the answer.
         self.is_framed = True
 
     def _wake(self) -> None:
@@ -47,13 +49,13 @@
             self._waiter = None
 
     def on_head(self, response: ResponseHead, is_framed: bool) -> None:
-        """Take the status line and fields."""
+        """Store the status line and header fields."""
         self.response = response
         self.is_framed = is_framed
         self._wake()
 
     def on_chunk(self, chunk: bytes) -> None:
-        """Take a part of the body."""
+        """Buffer a part of the body."""
         self._chunks.append(chunk)
         self._buffered += len(chunk)
         if self._buffered > _HIGH_WATER_BYTES:
@@ -61,18 +63,18 @@
         self._wake()
 
     def on_complete(self) -> None:
-        """Take the end of the body."""
+        """Mark the answer as complete."""
         self.is_complete = True
         self._wake()
 
     def on_failure(self, failure: Refusal) -> None:
-        """Take the end of the connection, unless the answer was complete."""
+        """Record why the exchange failed, unless the answer is complete."""
         if not self.is_complete and self.failure is None:
             self.failure = failure
             self._wake()
 
     async def head(self) -> ResponseHead | Refusal:
-        """Return the status line and fields."""
+        """Wait for the status line and header fields, and return them."""
         while self.response is None:
             if self.failure is not None:
                 return self.failure
@@ -80,7 +82,7 @@
         return self.response
 
     async def read(self) -> bytes | Refusal | None:
-        """Return the next part of the body, None at its end."""
+        """Return the next part of the body; None at the end of the body."""
         while not self._chunks:
             if self.is_complete:
                 return None
@@ -93,8 +95,8 @@
             self._connection.resume()
         return chunk
 
-    async def whole(self) -> Response | Refusal:
-        """Return the whole answer."""
+    async def read_response(self) -> Response | Refusal:
+        """Read the answer to its end and return it."""
         head = await self.head()
         if isinstance(head, Refusal):
             return head
@@ -108,40 +110,40 @@
             parts.append(chunk)
 
     def abort(self) -> None:
-        """Give the exchange up; its connection can't be used again."""
+        """Abandon the exchange; close its connection unless that can be reused."""
         if not self.is_complete or not self._connection.is_reusable:
             self._connection.close()
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection to a server."""
+    """One connection to a server, which runs one exchange at a time."""
 
     def __init__(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self._transport: asyncio.Transport | None = None
         self._exchange: Exchange | None = None
         self._fields: list[tuple[str, str]] = []
-        self._is_body_open_ended = False
-        self._may_keep = True
-        # Whether the connection is at an end.
+        self._ends_with_connection = False
+        self._may_reuse = True
+        # Whether the connection is closed.
         self.is_closed = False
-        # Whether any exchange has been completed on it.
-        self.served = 0
-        # When the last answer ended, in seconds of the monotonic clock.
+        # Number of completed exchanges.
+        self.completed_count = 0
+        # Monotonic time at which the last answer ended, in seconds.
         self.idle_since_s = 0.0
-        # Seconds for which the server says that it keeps the connection open.
-        self.keep_s: float | None = None
+        # Keep-alive timeout that the server has announced, in seconds; None for none.
+        self.keep_alive_s: float | None = None
 
     @property
     def is_reusable(self) -> bool:
-        """Whether another exchange may start."""
-        return not self.is_closed and self._may_keep and self._exchange is None
+        """Whether another exchange may start on the connection."""
+        return not self.is_closed and self._may_reuse and self._exchange is None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport and have the kernel watch for silence."""
+        """Store the transport and let the kernel detect a silent peer."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        watch_for_silence(transport)
+        enable_silence_detection(transport)
 
     def pause(self) -> None:
         """Stop reading from the server."""
@@ -149,12 +151,12 @@
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        """Read on."""
+        """Resume reading from the server."""
         if self._transport is not None and not self.is_closed:
             self._transport.resume_reading()
 
     def start(self, method: str, target: str, fields: Fields, body: bytes) -> Exchange:
-        """Send a request and return the exchange that its answer arrives at."""
+        """Send a request; return the exchange that receives the answer."""
         exchange = Exchange(self)
         assert self._transport is not None
         self._exchange = exchange
@@ -172,7 +174,7 @@
         self._fail("closed by this side")
 
     def data_received(self, data: bytes) -> None:
-        """Feed the parser; bytes that answer nothing end the connection."""
+        """Feed the parser; bytes without a request in progress close the connection."""
         if self._exchange is None:
             self.close()
             return
@@ -183,13 +185,13 @@
             self.close()
 
     def eof_received(self) -> bool:
-        """Let an answer without framing end with its connection."""
-        if self._is_body_open_ended and self._exchange is not None:
+        """Complete an answer whose body extends to the end of the connection."""
+        if self._ends_with_connection and self._exchange is not None:
             self._complete()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail what has not been answered in full."""
+        """Fail the exchange in progress."""
         self.is_closed = True
         reason = f"connection lost: {exc}" if exc else "connection closed"
         self._fail(reason, ErrorKind.CONNECTION_LOST)
@@ -199,45 +201,45 @@
         if exchange is not None:
             exchange.on_failure(refuse(kind, reason))
 
-    # The parser's callbacks.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Refuse a second answer in the same bytes."""
+        """Begin an answer; an answer without a request prevents connection reuse."""
         self._fields = []
         if self._exchange is None:
-            self._may_keep = False
+            self._may_reuse = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a field."""
+        """Collect a header field."""
         self._fields.append((name.decode("latin-1"), value.decode("latin-1")))
 
     def on_headers_complete(self) -> None:
-        """Hand the head over, unless it is an interim answer."""
+        """Pass the head to the exchange, unless the answer is an interim one."""
         status = self._parser.get_status_code()
         if status < 200 or self._exchange is None:
             return
         names = {name.lower(): value for name, value in self._fields}
         is_framed = "content-length" in names or "transfer-encoding" in names
-        self._is_body_open_ended = not is_framed and status not in (204, 304)
-        self._may_keep = self._may_keep and self._parser.should_keep_alive()
-        self._may_keep = self._may_keep and not self._is_body_open_ended
-        self.keep_s = _keep_alive_s(names.get("keep-alive"))
+        self._ends_with_connection = not is_framed and status not in (204, 304)
+        self._may_reuse = self._may_reuse and self._parser.should_keep_alive()
+        self._may_reuse = self._may_reuse and not self._ends_with_connection
+        self.keep_alive_s = _keep_alive_s(names.get("keep-alive"))
         self._exchange.on_head(ResponseHead(status, tuple(self._fields)), is_framed)
 
     def on_body(self, body: bytes) -> None:
-        """Hand a part of the body over."""
+        """Pass a part of the body to the exchange."""
         if self._exchange is not None:
             self._exchange.on_chunk(body)
 
     def on_message_complete(self) -> None:
-        """End the exchange."""
+        """Complete the exchange, unless the answer is an interim one."""
         if self._parser.get_status_code() >= 200:
             self._complete()
 
     def _complete(self) -> None:
         exchange, self._exchange = self._exchange, None
-        self._is_body_open_ended = False
-        self.served += 1
+        self._ends_with_connection = False
+        self.completed_count += 1
         self.idle_since_s = asyncio.get_running_loop().time()
         if exchange is not None:
             exchange.on_complete()
@@ -250,8 +252,8 @@
     return float(text) if text.isdigit() else None
 
 
-def watch_for_silence(transport: asyncio.Transport) -> None:
-    """Have the kernel end a connection whose peer has fallen silent."""
+def enable_silence_detection(transport: asyncio.Transport) -> None:
+    """Set socket options so that the kernel closes a connection to a silent peer."""
     sock = transport.get_extra_info("socket")
     if sock is None:
         return
@@ -260,13 +262,13 @@
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _SILENCE_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS)
 
 
 async def open_connection(
     host: str, port: int, timeout_s: float
 ) -> ClientConnection | Refusal:
-    """Connect; a failure says that nothing was sent."""
+    """Open a connection; a refusal says that nothing was sent."""
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(timeout_s):
--- a/pistachioglade/http1/_messages.py
+++ b/pistachioglade/http1/_messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers as both sides of HTTP/1.1 see them."""
+"""HTTP/1.1 requests and answers, for clients and servers."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import attrs
 
-#: Header fields as they stood on the wire, in order.
+#: Header fields as received, in order.
 Fields = tuple[tuple[str, str], ...]
 
 #: Fields that concern one connection only and are never passed on (RFC 9110, 7.6.1).
@@ -28,9 +28,9 @@
 
 @attrs.frozen
 class Request:
-    """A whole request."""
+    """A complete request."""
 
-    # Method, in capitals.
+    # Method in upper case.
     method: str
     # Path and query as sent.
     target: str
@@ -38,7 +38,7 @@
     fields: Fields
     # Body without its transfer coding.
     body: bytes
-    # When its last byte was read, in seconds of the monotonic clock.
+    # Monotonic time at which the last byte was read, in seconds.
     received_s: float
 
     @property
@@ -48,7 +48,7 @@
 
     @property
     def query(self) -> str:
-        """The text behind the question mark."""
+        """The part of the target after the question mark."""
         return self.target.partition("?")[2]
 
     def field(self, name: str) -> str | None:
@@ -72,7 +72,7 @@
 
 @attrs.frozen
 class Response:
-    """A whole answer."""
+    """A complete answer."""
 
     # HTTP status code.
     status: int
@@ -87,13 +87,13 @@
 
 
 def first_field(fields: Fields, name: str) -> str | None:
-    """Return the first value of a field; names compare without case."""
+    """Return the first value of a field; names are case-insensitive."""
     lower = name.lower()
     return next((value for key, value in fields if key.lower() == lower), None)
 
 
 def end_to_end(fields: Fields, also_drop: Iterable[str] = ()) -> Fields:
-    """Return the fields that are meant for the other end of the path."""
+    """Return the fields without the hop-by-hop fields and those in ``also_drop``."""
     listed = first_field(fields, "connection") or ""
     named = {part.strip().lower() for part in listed.split(",")}
     dropped = HOP_BY_HOP | named | {name.lower() for name in also_drop}
@@ -101,13 +101,13 @@
 
 
 def head_bytes(first_line: str, fields: Iterable[tuple[str, str]]) -> bytes:
-    """Return a start line and fields as they go on the wire."""
+    """Return a start line and header fields in wire format."""
     lines = [first_line, *(f"{name}: {value}" for name, value in fields), "", ""]
     return "\r\n".join(lines).encode("latin-1")
 
 
 def reason_phrase(status: int) -> str:
-    """Return the usual phrase of a status code."""
+    """Return the standard reason phrase of a status code."""
     try:
         return HTTPStatus(status).phrase
     except ValueError:
--- a/pistachioglade/http1/_pool.py
+++ b/pistachioglade/http1/_pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to one server."""
+"""Pool of keep-alive connections to one server."""
 
 from __future__ import annotations
 
@@ -9,37 +9,40 @@
 from ._client import ClientConnection, Exchange, open_connection
 from ._messages import Fields, Response
 
-#: Time within which a connection has to stand; the peers are a few ms away, and a
-#: dropped opening packet is sent again only after a second.
+#: Timeout for opening a connection, in seconds. The peers are a few milliseconds away,
+#: and TCP resends a lost SYN only after a second.
 CONNECT_TIMEOUT_S: Final = 0.5
-#: Idle time after which a connection isn't used again when the server names none.
-_DEFAULT_KEEP_S: Final = 8.0
-#: Part of the server's idle limit that is used, so that its close isn't met.
-_KEEP_PART: Final = 0.85
+#: Keep-alive timeout of a server that announces none, in seconds.
+_DEFAULT_KEEP_ALIVE_S: Final = 8.0
+#: Fraction of the keep-alive timeout for which an idle connection is reused, so that
+#: no request is sent while the server closes the connection.
+_KEEP_ALIVE_FRACTION: Final = 0.85
 
 
 class Pool:
-    """Connections to one address; the newest idle one is used first."""
+    """Connections to one address; the last one that became idle is reused first."""
 
     def __init__(self, host: str, port: int) -> None:
         self.host = host
         self.port = port
         self._idle: list[ClientConnection] = []
         self._busy: set[ClientConnection] = set()
-        # Connections that were opened.
+        # Number of connections opened so far.
         self.opened = 0
 
     @property
     def idle_count(self) -> int:
-        """How many connections wait for a request."""
+        """Number of idle connections."""
         return len(self._idle)
 
     def _take_idle(self) -> ClientConnection | None:
         now_s = asyncio.get_running_loop().time()
         while self._idle:
             connection = self._idle.pop()
-            keep_s = connection.keep_s or _DEFAULT_KEEP_S
-            is_fresh = now_s - connection.idle_since_s < keep_s * _KEEP_PART
+            keep_alive_s = connection.keep_alive_s or _DEFAULT_KEEP_ALIVE_S
+            is_fresh = (
+                now_s - connection.idle_since_s < keep_alive_s * _KEEP_ALIVE_FRACTION
+            )
             if connection.is_reusable and is_fresh:
                 return connection
             connection.close()
@@ -48,7 +51,7 @@
     async def acquire(
         self, timeout_s: float = CONNECT_TIMEOUT_S
     ) -> ClientConnection | Refusal:
-        """Return a connection that is ready for a request."""
+        """Return an idle or new connection; a refusal if none can be opened."""
         connection = self._take_idle()
         if connection is None:
             opened = await open_connection(self.host, self.port, timeout_s)
@@ -60,7 +63,7 @@
         return connection
 
     def release(self, connection: ClientConnection) -> None:
-        """Take a connection back, or end it if it can't be used again."""
+        """Return a connection to the pool; close it if it can't be reused."""
         self._busy.discard(connection)
         if connection.is_reusable:
             self._idle.append(connection)
@@ -70,14 +73,14 @@
     async def request(
         self, method: str, target: str, fields: Fields, body: bytes, timeout_s: float
     ) -> Response | Refusal:
-        """Make one whole exchange; TimeoutError when time is up."""
+        """Run one exchange; raise TimeoutError after ``timeout_s``."""
         async with asyncio.timeout(timeout_s):
             connection = await self.acquire(min(timeout_s, CONNECT_TIMEOUT_S))
             if isinstance(connection, Refusal):
                 return connection
             try:
                 exchange: Exchange = connection.start(method, target, fields, body)
-                answer = await exchange.whole()
+                answer = await exchange.read_response()
             except BaseException:
                 connection.close()
                 raise
@@ -86,12 +89,12 @@
             return answer
 
     def close_idle(self) -> None:
-        """End the connections that wait for a request."""
+        """Close the idle connections."""
         while self._idle:
             self._idle.pop().close()
 
     def close(self) -> None:
-        """End every connection."""
+        """Close all connections."""
         for connection in (*self._idle, *self._busy):
             connection.close()
         self._idle.clear()
--- a/pistachioglade/http1/tests/scripted.py
+++ b/pistachioglade/http1/tests/scripted.py
@@ -1,4 +1,4 @@
-"""Peers that send exactly the bytes that a case says."""
+"""Server that answers with scripted bytes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 class ScriptedServer:
     """Answers the n-th request with the n-th script of byte strings.
 
-    A script's last entry of ``b""`` ends the connection.
+    An empty byte string in a script closes the connection.
     """
 
     def __init__(self, scripts: Sequence[Sequence[bytes]]) -> None:
@@ -60,7 +60,7 @@
 
 
 def run(work: Callable[[], Awaitable[T]]) -> T:
-    """Run a coroutine function to its end, within a bound that only a hang meets."""
+    """Run a coroutine function to its end; a timeout of 30 s ends a test that hangs."""
 
     async def bounded() -> T:
         async with asyncio.timeout(30.0):
--- a/pistachioglade/http1/tests/test_client.py
+++ b/pistachioglade/http1/tests/test_client.py
@@ -1,4 +1,4 @@
-"""What the client makes of answers that are whole, cut, unframed or doubled."""
+"""Tests of the client with complete, truncated, unframed and duplicate answers."""
 
 from __future__ import annotations
 
@@ -8,37 +8,37 @@
 from .. import Pool, Response
 from .scripted import ScriptedServer, run
 
-_WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+_COMPLETE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 _CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"
-_CUT = b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"
-_CUT_CHUNKS = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n"
+_TRUNCATED = b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"
+_TRUNCATED_CHUNKS = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n"
 _UNFRAMED = b"HTTP/1.1 200 OK\r\n\r\nok"
 _INTERIM = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
 _CLOSING = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok"
 
 _CASES = {
-    # name: (bytes of the first answer, whether it is whole, whether the connection
-    # is used again for the second request)
-    "whole": ((_WHOLE,), True, True),
-    "in two parts": ((_WHOLE[:30], _WHOLE[30:]), True, True),
+    # name: (bytes of the first answer, whether that answer is complete, whether its
+    # connection is reused for the second request)
+    "whole": ((_COMPLETE,), True, True),
+    "in two parts": ((_COMPLETE[:30], _COMPLETE[30:]), True, True),
     "chunked": ((_CHUNKED,), True, True),
-    "after an interim answer": ((_INTERIM + _WHOLE,), True, True),
+    "after an interim answer": ((_INTERIM + _COMPLETE,), True, True),
     "server closes after it": ((_CLOSING,), True, False),
     "ends with its connection": ((_UNFRAMED, b""), True, False),
-    "cut": ((_CUT, b""), False, False),
-    "cut between chunks": ((_CUT_CHUNKS, b""), False, False),
+    "cut": ((_TRUNCATED, b""), False, False),
+    "cut between chunks": ((_TRUNCATED_CHUNKS, b""), False, False),
     "no answer": ((b"",), False, False),
     "not HTTP": ((b"garbage\r\n\r\n",), False, False),
-    "a second answer in the same bytes": ((_WHOLE + _WHOLE,), True, False),
+    "a second answer in the same bytes": ((_COMPLETE + _COMPLETE,), True, False),
 }
 
 
 @pytest.mark.parametrize("name", _CASES)
-def test_answers(name: str) -> None:
-    parts, is_whole, is_reused = _CASES[name]
+def test_an_answer_is_read_by_its_framing(name: str) -> None:
+    parts, is_complete, is_reused = _CASES[name]
 
     async def work() -> tuple[Response | Refusal, Response | Refusal, int]:
-        async with ScriptedServer([parts, (_WHOLE,)]) as server:
+        async with ScriptedServer([parts, (_COMPLETE,)]) as server:
             pool = Pool("127.0.0.1", server.port)
             first = await pool.request("GET", "/", (), b"", 5.0)
             second = await pool.request("GET", "/", (), b"", 5.0)
@@ -46,7 +46,7 @@
             return first, second, server.connections
 
     first, second, connections = run(work)
-    assert isinstance(first, Response) is is_whole
+    assert isinstance(first, Response) is is_complete
     if isinstance(first, Response):
         assert (first.status, first.body) == (200, b"ok")
     else:
@@ -56,9 +56,9 @@
     assert connections == (1 if is_reused else 2)
 
 
-def test_a_late_second_answer_reaches_no_request() -> None:
+def test_an_answer_without_a_request_reaches_no_later_request() -> None:
     async def work() -> Response | Refusal:
-        async with ScriptedServer([(_WHOLE, _WHOLE), (_WHOLE,)]) as server:
+        async with ScriptedServer([(_COMPLETE, _COMPLETE), (_COMPLETE,)]) as server:
             pool = Pool("127.0.0.1", server.port)
             await pool.request("GET", "/a", (), b"", 5.0)
             answer = await pool.request("GET", "/b", (), b"", 5.0)
@@ -69,7 +69,7 @@
     assert isinstance(run(work), Response)
 
 
-def test_a_refused_connection_says_that_nothing_was_sent() -> None:
+def test_a_refused_connection_counts_as_not_run() -> None:
     async def work() -> Response | Refusal:
         async with ScriptedServer([]) as server:
             port = server.port
--- a/pistachioglade/http1/tests/test_server.py
+++ b/pistachioglade/http1/tests/test_server.py
@@ -1,4 +1,4 @@
-"""Requests of all framings, limits, pipelining, and clients that leave."""
+"""Tests of the server: framing, limits, pipelining, and clients that disconnect."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 _LAST = b"Connection: close\r\n"
 _CASES = {
-    # name: (bytes sent, what the answer must hold, in order)
+    # name: (bytes sent, parts that the answer must contain in this order)
     "no body": (b"GET /a?b=1 HTTP/1.1\r\n" + _LAST + b"\r\n", [b"GET /a?b=1 "]),
     "a length": (
         b"POST /a HTTP/1.1\r\nContent-Length: 3\r\n" + _LAST + b"\r\nxyz",
@@ -71,17 +71,17 @@
 
 
 @pytest.mark.parametrize("name", _CASES)
-def test_requests(name: str) -> None:
+def test_a_request_is_answered_or_rejected_by_its_framing_and_size(name: str) -> None:
     sent, expected = _CASES[name]
     answer = run(lambda: _exchange(sent))
-    places = [answer.find(part) for part in expected]
-    assert -1 not in places, answer
-    assert places == sorted(places)
+    positions = [answer.find(part) for part in expected]
+    assert -1 not in positions, answer
+    assert positions == sorted(positions)
     assert b"smuggled" not in answer
 
 
 @pytest.mark.parametrize("sent", [b"GET /a HTT", b"POST /a HTTP/1.1\r\nContent-L"])
-def test_a_slow_head_is_ended(sent: bytes) -> None:
+def test_a_slow_head_is_rejected(sent: bytes) -> None:
     async def work() -> bytes:
         server = HttpServer(_echo, ServerLimits(header_timeout_s=0.01))
         await server.start("127.0.0.1", 0)
@@ -96,7 +96,7 @@
     assert b"408 " in run(work)
 
 
-def test_the_work_for_a_client_that_leaves_is_cancelled() -> None:
+def test_the_handler_is_cancelled_when_its_client_disconnects() -> None:
     async def work() -> bool:
         started, cancelled = asyncio.Event(), asyncio.Event()
 
@@ -121,7 +121,7 @@
     assert run(work)
 
 
-def test_a_leaving_server_answers_and_closes() -> None:
+def test_a_leaving_server_answers_and_closes_the_connection() -> None:
     async def work() -> bytes:
         server = HttpServer(_echo, _LIMITS)
         await server.start("127.0.0.1", 0)
