--- a/pistachioglade/forwarding/_forward.py
+++ b/pistachioglade/forwarding/_forward.py
@@ -75,7 +75,7 @@
     def call_for(
         self, request: Request, request_id: str, route: Route
     ) -> ForwardedCall:
-        """Return the call of a request; its deadline is the caller's or the route's."""
+        """Return the call; its deadline is the caller's or the route's, if earlier."""
         requested_s = caller_deadline_s(request.fields)
         allowed_s = (
             route.timeout_s
@@ -119,7 +119,7 @@
                 last = await call_instance(
                     self._view, handle, forwarded, call.request_id, try_timeout_s
                 )
-            guard.note_result(
+            guard.record_result(
                 handle.instance, last if isinstance(last, Refusal) else None
             )
             self._metrics.tried(
--- a/pistachioglade/forwarding/_stream.py
+++ b/pistachioglade/forwarding/_stream.py
@@ -125,7 +125,7 @@
             with guard.running():
                 answer = await self._try(call, policy, handle, progress, len(tried))
             fault = answer if isinstance(answer, Refusal) else None
-            guard.note_result(handle.instance, fault)
+            guard.record_result(handle.instance, fault)
             if answer is None:
                 sink.finish()
                 return StreamEnd.WHOLE
@@ -163,7 +163,7 @@
             answer = await self._exchange(call, policy, handle, progress)
         finally:
             record.outstanding -= 1
-        outcome = "whole" if answer is None else _log_outcome(answer)
+        outcome = "whole" if answer is None else _outcome_name(answer)
         self._metrics.tried(outcome)
         self._log.info(
             "stream-tried",
@@ -212,7 +212,7 @@
         return answer
 
 
-def _log_outcome(answer: Response | Refusal) -> str:
+def _outcome_name(answer: Response | Refusal) -> str:
     return answer.kind.value if isinstance(answer, Refusal) else str(answer.status)
 
 
@@ -312,7 +312,7 @@
         return None
 
     def _send_head(self, head: ResponseHead) -> None:
-        """Send the head unless that of an earlier instance has been sent."""
+        """Send the head, unless the head of an earlier instance has been sent."""
         if not self._progress.is_begun:
             self._progress.is_begun = True
             self._progress.sink.begin(head.status, end_to_end(head.fields))
--- a/pistachioglade/forwarding/_upstream_call.py
+++ b/pistachioglade/forwarding/_upstream_call.py
@@ -17,8 +17,8 @@
 )
 from ._fleet_view import FleetView, InstanceHandle
 
-#: Statuses that say that a request did not run. Without the header field that confirms
-#: it, an answer with one of these may come from a request that ran.
+#: Statuses that say that a request did not run. An engine's answer with one of these
+#: statuses but without the header field that confirms this may follow a run.
 _NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
 
--- a/pistachioglade/forwarding/tests/test_events.py
+++ b/pistachioglade/forwarding/tests/test_events.py
@@ -40,8 +40,8 @@
 def test_a_stream_that_ends_inside_an_event_is_detected(end: int) -> None:
     decoder = EventDecoder()
     decoder.feed(_STREAM[:end])
-    is_whole = _STREAM[:end].endswith(b"\n\n")
-    assert decoder.is_between_events is (is_whole or not _STREAM[:end].strip())
+    is_complete = _STREAM[:end].endswith(b"\n\n")
+    assert decoder.is_between_events is (is_complete or not _STREAM[:end].strip())
 
 
 @pytest.mark.parametrize(
--- a/pistachioglade/http1/_server.py
+++ b/pistachioglade/http1/_server.py
@@ -90,8 +90,8 @@
         self._reset_message()
         # Monotonic time of the last received byte or ended answer, in seconds.
         self.last_active_s = self._loop.time()
-        # Whether the connection must be closed, at the client's wish or after an
-        # invalid request.
+        # Whether the connection must be closed, because the client asked for it or sent
+        # an invalid request.
         self.will_close = False
 
     def _reset_message(self) -> None:
--- a/pistachioglade/quarantine/_guard.py
+++ b/pistachioglade/quarantine/_guard.py
@@ -30,19 +30,20 @@
     async def admit(self, healthy: Callable[[], Iterable[Instance]]) -> Refusal | None:
         """Return a refusal if the request may not be sent now; None if it may.
 
-        ``healthy`` returns the open instances of its upstream that aren't resting.
+        ``healthy`` returns the instances of the request's upstream that get new
+        requests and aren't in a cooldown.
         """
         if not self._ledger.count:
             return None
         names = frozenset(map(_incarnation, healthy()))
-        verdict = self._ledger.judge(self.digest, names)
+        verdict = self._ledger.decide_admission(self.digest, names)
         match verdict.admission:
             case Admission.SEND:
                 return None
             case Admission.TRIAL:
                 if await self._ledger.claim_trial(self.digest):
                     return None
-                verdict = self._ledger.judge(self.digest, names)
+                verdict = self._ledger.decide_admission(self.digest, names)
         return _refusal(verdict)
 
     @contextmanager
@@ -54,14 +55,14 @@
         with self._ledger.running(self.digest):
             yield
 
-    def note_result(self, instance: Instance, refusal: Refusal | None) -> None:
+    def record_result(self, instance: Instance, refusal: Refusal | None) -> None:
         """Record the result of a try; ``refusal`` is None if the instance answered."""
         if refusal is None:
             if self._ledger.count:
-                self._ledger.note_answer(self.digest)
+                self._ledger.record_answer(self.digest)
         elif refusal.kind is ErrorKind.CONNECTION_LOST:
             name = _incarnation(instance)
-            self._ledger.note_crash(self.digest, name, self._request_id)
+            self._ledger.record_crash(self.digest, name, self._request_id)
 
 
 def _incarnation(instance: Instance) -> str:
--- a/pistachioglade/quarantine/_ledger.py
+++ b/pistachioglade/quarantine/_ledger.py
@@ -18,10 +18,10 @@
 )
 from ..logs import logger
 
-#: Most requests with a record.
-_MOST_REQUESTS: Final = 2000
-#: Most instances that are written to a record in the store or read from it.
-MOST_INSTANCES: Final = 64
+#: Maximum number of requests with a record.
+_MAX_REQUESTS: Final = 2000
+#: Maximum number of instances written to a record in the store or read from one.
+MAX_INSTANCES: Final = 64
 _NO_INSTANCES: Final[frozenset[str]] = frozenset()
 
 
@@ -29,11 +29,11 @@
 class StoredCrashes:
     """Crash record of a request in the store."""
 
-    # Instances that ended while running it.
+    # Instances that ended while running the request.
     instances: frozenset[str]
     # Claimed trial runs.
     trials: int
-    # Revision of the store's object.
+    # Revision of the record in the store.
     revision: int
 
 
@@ -62,12 +62,12 @@
 
     @property
     def instances(self) -> frozenset[str]:
-        """Instances that ended while running it, since an instance last answered it."""
+        """Instances that ended while running the request since its last answer."""
         return (self._stored_instances | self.observed | self.reported) - self.cleared
 
     @property
     def trials(self) -> int:
-        """Trial runs claimed since an instance last answered it."""
+        """Trial runs claimed since the request's last answer."""
         if self.stored is None:
             return self.local_trials
         return 0 if self.stored.instances & self.cleared else self.stored.trials
@@ -77,7 +77,7 @@
         """Instances that the store's record should contain."""
         uncleared = (self._stored_instances | self.observed) - self.cleared
         # Without the bound, a truncated record would always count as unwritten.
-        return frozenset(sorted(uncleared)[:MOST_INSTANCES])
+        return frozenset(sorted(uncleared)[:MAX_INSTANCES])
 
     @property
     def is_unwritten(self) -> bool:
@@ -119,10 +119,10 @@
         """Return the digests whose records in the store are out of date."""
         return [name for name, record in self._records.items() if record.is_unwritten]
 
-    def judge(self, digest: str, open_instances: Collection[str]) -> Verdict:
+    def decide_admission(self, digest: str, open_instances: Collection[str]) -> Verdict:
         """Return the admission decision for a request.
 
-        ``open_instances`` are the instances of its upstream that can run it.
+        ``open_instances`` are the instances of the upstream that can run the request.
         """
         record = self._records.get(digest) or CrashRecord(self._now_s())
         # The list can still contain instances that have just ended.
@@ -152,7 +152,7 @@
         finally:
             record.running -= 1
 
-    def note_crash(self, digest: str, instance: str, request_id: str) -> None:
+    def record_crash(self, digest: str, instance: str, request_id: str) -> None:
         """Record that an instance ended while running a request."""
         record = self._find_or_add(digest)
         if record is None or instance in record.instances:
@@ -177,7 +177,7 @@
         record.reported |= set(instances)
         record.changed_s = self._now_s()
 
-    def note_answer(self, digest: str) -> None:
+    def record_answer(self, digest: str) -> None:
         """Clear a request's crashes because an instance has answered it."""
         record = self._records.get(digest)
         if record is None or not record.instances:
@@ -189,10 +189,10 @@
         record.local_trials = 0
         self.has_unwritten.set()
 
-    def take(self, digest: str, stored: StoredCrashes | None) -> None:
-        """Take a request's record from the store; None if it was deleted."""
+    def apply_stored(self, digest: str, stored: StoredCrashes | None) -> None:
+        """Apply a request's stored record; None if the record was deleted."""
         if stored is None:
-            self._take_removal(digest)
+            self._apply_removal(digest)
             return
         record = self._find_or_add(digest)
         if record is None:
@@ -207,12 +207,12 @@
         if record.is_unwritten:
             self.has_unwritten.set()
 
-    def _take_removal(self, digest: str) -> None:
+    def _apply_removal(self, digest: str) -> None:
         record = self._records.get(digest)
         if record is None or record.stored is None:
             return
         record.cleared |= record.stored.instances | record.reported
-        if len(record.stored.instances) >= MOST_INSTANCES:
+        if len(record.stored.instances) >= MAX_INSTANCES:
             # Observed instances beyond the limit would otherwise be written again.
             record.cleared |= record.observed
         record.stored = None
@@ -234,7 +234,7 @@
 
     def _find_or_add(self, digest: str) -> CrashRecord | None:
         record = self._records.get(digest)
-        if record is None and len(self._records) < _MOST_REQUESTS:
+        if record is None and len(self._records) < _MAX_REQUESTS:
             record = self._records[digest] = CrashRecord(self._now_s())
         if record is None:
             self._log.warning("crash-not-remembered", request_digest=digest)
--- a/pistachioglade/quarantine/_store_records.py
+++ b/pistachioglade/quarantine/_store_records.py
@@ -10,7 +10,7 @@
 from ..logs import logger
 from ..platform import Entry
 from ..store import Follow, Mirror, StoreClient
-from ._ledger import MOST_INSTANCES, CrashLedger, CrashRecord, StoredCrashes
+from ._ledger import MAX_INSTANCES, CrashLedger, CrashRecord, StoredCrashes
 
 #: Kind of the records in the store. Each record is named by its request's digest.
 CRASH_KIND: Final = "pistachioglade-crashes"
@@ -53,7 +53,7 @@
     if not has_valid_instances or not has_valid_trials:
         return refuse(ErrorKind.UNREADABLE, f"crash record {entry.name:.80}")
     assert isinstance(instances, list) and isinstance(trials, int)
-    return StoredCrashes(frozenset(instances[:MOST_INSTANCES]), trials, entry.revision)
+    return StoredCrashes(frozenset(instances[:MAX_INSTANCES]), trials, entry.revision)
 
 
 class CrashRecordStore:
@@ -77,20 +77,20 @@
         self._last_broadcast: dict[str, frozenset[str]] = {}
         # Local copy of the records, by digest.
         self.mirror = Mirror(
-            store, CRASH_KIND, self._changed, _WATCH_HOLD_S, follow=follow
+            store, CRASH_KIND, self._apply_entry, _WATCH_HOLD_S, follow=follow
         )
         ledger.claim_trial = self.claim_trial
 
-    def _changed(self, entry: Entry, is_removed: bool) -> None:
+    def _apply_entry(self, entry: Entry, is_removed: bool) -> None:
         if is_removed:
-            self._ledger.take(entry.name, None)
+            self._ledger.apply_stored(entry.name, None)
             return
         decoded = decode_crashes(entry)
         if isinstance(decoded, Refusal):
             self._log.error("crash-record-refused", reason=decoded.reason)
             # Treat a malformed record as empty so that it can be overwritten.
             decoded = StoredCrashes(frozenset(), 0, entry.revision)
-        self._ledger.take(entry.name, decoded)
+        self._ledger.apply_stored(entry.name, decoded)
 
     async def run(self) -> None:
         """Write records when the ledger has unwritten ones; runs until cancelled."""
@@ -127,7 +127,7 @@
         return False
 
     async def _write_once(self, digest: str, record: CrashRecord) -> Refusal | None:
-        """Make one write and take its result; return a refusal if there was none."""
+        """Send one write and apply its result; return a refusal if it failed."""
         answer = await self._send_write(digest, record)
         if isinstance(answer, Refusal) and answer.kind is ErrorKind.CONFLICT:
             answer = await self._store.read(CRASH_KIND, digest)
@@ -135,7 +135,7 @@
             self.mirror.put(answer)
             return None
         if answer is None or answer.kind is ErrorKind.NOT_FOUND:
-            self._ledger.take(digest, None)
+            self._ledger.apply_stored(digest, None)
             return None
         return answer
 
--- a/pistachioglade/quarantine/tests/test_store_records.py
+++ b/pistachioglade/quarantine/tests/test_store_records.py
@@ -22,7 +22,7 @@
 
     ledger: CrashLedger
     records: CrashRecordStore
-    # Crashes that it broadcast to other entries.
+    # Crashes that the entry has broadcast to other entries.
     broadcasts: list[tuple[str, frozenset[str]]]
 
     def instances(self) -> set[str]:
@@ -68,7 +68,7 @@
     async def work() -> None:
         async with served_store() as store, _nodes(store, 4) as nodes:
             for number, node in enumerate(nodes):
-                node.ledger.note_crash("d", f"i-{number}", "r")
+                node.ledger.record_crash("d", f"i-{number}", "r")
             expected = {f"i-{number}" for number in range(4)}
             await eventually(lambda: all(n.instances() == expected for n in nodes))
             assert all(node.ledger.quarantined_count == 1 for node in nodes)
@@ -80,11 +80,11 @@
     async def work() -> None:
         async with served_store() as store, _nodes(store, 3) as nodes:
             for number, node in enumerate(nodes):
-                node.ledger.note_crash("d", f"i-{number}", "r")
+                node.ledger.record_crash("d", f"i-{number}", "r")
             await eventually(lambda: all(len(n.instances()) == 3 for n in nodes))
-            nodes[1].ledger.note_answer("d")
+            nodes[1].ledger.record_answer("d")
             await eventually(lambda: not any(n.instances() for n in nodes))
-            nodes[2].ledger.note_crash("d", "i-9", "r")
+            nodes[2].ledger.record_crash("d", "i-9", "r")
             await eventually(lambda: all(n.instances() == {"i-9"} for n in nodes))
 
     run(work)
@@ -93,7 +93,7 @@
 def test_only_one_entry_claims_a_trial() -> None:
     async def work() -> None:
         async with served_store() as store, _nodes(store, 3) as nodes:
-            nodes[0].ledger.note_crash("d", "i-1", "r")
+            nodes[0].ledger.record_crash("d", "i-1", "r")
             await eventually(lambda: all(n.instances() for n in nodes))
             claims = await asyncio.gather(*(n.records.claim_trial("d") for n in nodes))
             assert sorted(claims) == [False, False, True]
@@ -110,7 +110,7 @@
 def test_no_trial_is_claimed_without_the_store() -> None:
     async def work() -> None:
         async with served_store() as store, _nodes(store, 1) as nodes:
-            nodes[0].ledger.note_crash("d", "i-1", "r")
+            nodes[0].ledger.record_crash("d", "i-1", "r")
             await eventually(lambda: nodes[0].ledger.unwritten() == [])
             store.standin.faults.down = True
             assert not await nodes[0].records.claim_trial("d")
@@ -122,7 +122,7 @@
     async def work() -> None:
         async with served_store() as store, _nodes(store, 2) as nodes:
             store.standin.faults.down = True
-            nodes[0].ledger.note_crash("d", "i-1", "r")
+            nodes[0].ledger.record_crash("d", "i-1", "r")
             await eventually(lambda: bool(nodes[0].broadcasts))
             await asyncio.sleep(1.5)
             assert nodes[0].broadcasts == [("d", frozenset({"i-1"}))]
@@ -136,8 +136,8 @@
     async def work() -> None:
         async with served_store() as store, _nodes(store, 2) as nodes:
             store.dropped_answers = 2
-            nodes[0].ledger.note_crash("d", "i-1", "r")
-            nodes[1].ledger.note_crash("d", "i-2", "r")
+            nodes[0].ledger.record_crash("d", "i-1", "r")
+            nodes[1].ledger.record_crash("d", "i-2", "r")
             await eventually(lambda: all(len(n.instances()) == 2 for n in nodes))
             await eventually(lambda: not any(n.ledger.unwritten() for n in nodes))
 
@@ -164,7 +164,7 @@
             await store.client().create(CRASH_KIND, "d", value, 1.0)
             async with _nodes(store, 2) as nodes:
                 assert not any(node.instances() for node in nodes)
-                nodes[0].ledger.note_crash("d", "i-2", "r")
+                nodes[0].ledger.record_crash("d", "i-2", "r")
                 await eventually(lambda: nodes[1].instances() == {"i-2"})
 
     run(work)
@@ -180,7 +180,7 @@
     async def work() -> None:
         async with served_store() as store, _nodes(store, 2) as nodes:
             for number in range(100):
-                nodes[number % 2].ledger.note_crash("d", f"i-{number}", "r")
+                nodes[number % 2].ledger.record_crash("d", f"i-{number}", "r")
             await eventually(lambda: not any(n.ledger.unwritten() for n in nodes))
             await asyncio.sleep(0.2)
             # A record that never matches the ledger would be rewritten endlessly.
