--- a/pistachioglade/forwarding/_forward.py
+++ b/pistachioglade/forwarding/_forward.py
@@ -75,7 +75,7 @@
     def call_for(
         self, request: Request, request_id: str, route: Route
     ) -> ForwardedCall:
-        """Return the call; its deadline is the caller's or the route's, if earlier."""
+        """Return the call; its deadline is the earlier of the caller's and route's."""
         requested_s = caller_deadline_s(request.fields)
         allowed_s = (
             route.timeout_s
