--- a/pistachioglade/store/__init__.py
+++ b/pistachioglade/store/__init__.py
@@ -1,7 +1,7 @@
-"""The platform's store: the client, and local copies of its kinds."""
+"""The client of the platform's store, and local copies of the objects of a kind."""
 
-from ._around import Relay
 from ._client import BEAT_S, CALL_TIMEOUT_S, StoreClient
+from ._relayed_calls import Relay
 from ._watch import WATCH_HOLD_S, Follow, Mirror
 
 __all__ = [
--- a/pistachioglade/store/_change_log.py
+++ b/pistachioglade/store/_change_log.py
@@ -1,4 +1,4 @@
-"""The latest changes of one kind, for nodes that follow this one's copy."""
+"""The latest changes of one kind, for nodes that follow this node's copy."""
 
 from __future__ import annotations
 
@@ -13,69 +13,69 @@
 from ..errors import ErrorKind, Refusal, refuse
 from ..platform import EntryChange, EntryChanges
 
-#: Answers of a watch that are kept.
-_MOST_BATCHES: Final = 200
+#: Number of watch answers that the log keeps.
+_MAX_BATCHES: Final = 200
 
 
 @attrs.frozen
 class _Batch:
-    """What one answer of a watch told, whole and in its order."""
+    """The changes of one watch answer, complete and in order."""
 
     # The changes.
     changes: tuple[EntryChange, ...]
-    # Revision of the store behind them.
+    # Revision of the store after these changes.
     revision: int
 
 
 class ChangeLog:
-    """Changes behind a revision, as far back as they are kept."""
+    """Holds the latest changes and returns those after a given revision."""
 
     def __init__(self) -> None:
         self._batches: deque[_Batch] = deque()
-        # Revision behind which all changes are kept; None before the first list.
-        self._since: int | None = None
+        # Revision after which the log holds all changes; None before the first list.
+        self._oldest_revision: int | None = None
         self._revision = 0
-        self._grown = asyncio.Event()
+        self._changed = asyncio.Event()
 
     def reset(self, revision: int) -> None:
-        """Begin anew behind a list: what came before it isn't known."""
+        """Restart after a list at ``revision``; earlier changes are unknown."""
         self._batches.clear()
-        self._since = self._revision = revision
-        self._wake()
+        self._oldest_revision = self._revision = revision
+        self._wake_waiters()
 
     def add(self, changes: tuple[EntryChange, ...], revision: int) -> None:
-        """Take an answer of the watch."""
+        """Add the changes of a watch answer that ended at ``revision``."""
         if changes:
             self._batches.append(_Batch(changes, revision))
-        if len(self._batches) > _MOST_BATCHES:
-            self._since = self._batches.popleft().revision
+        if len(self._batches) > _MAX_BATCHES:
+            self._oldest_revision = self._batches.popleft().revision
         self._revision = max(self._revision, revision)
         if changes:
-            self._wake()
+            self._wake_waiters()
 
-    def _wake(self) -> None:
-        self._grown.set()
-        self._grown = asyncio.Event()
+    def _wake_waiters(self) -> None:
+        self._changed.set()
+        self._changed = asyncio.Event()
 
     async def behind(self, revision: int, hold_s: float) -> EntryChanges | Refusal:
-        """Return the changes behind a revision; wait for some if there are none yet.
+        """Return the changes after ``revision``; wait ``hold_s`` for the first of them.
 
-        Batches are whole, so that a change may come that the follower knows; in their
-        order they end in the same state.
+        The log returns complete batches, so the changes may include some that the
+        follower already knows. Applied in order, they lead to the same state.
         """
         with suppress(TimeoutError):
             async with asyncio.timeout(hold_s):
-                while not self._is_told(revision):
-                    await self._grown.wait()
-        if self._since is None:
+                while not self._has_answer(revision):
+                    await self._changed.wait()
+        if self._oldest_revision is None:
             return refuse(ErrorKind.PLATFORM_UNAVAILABLE, "not listed yet")
-        if revision < self._since:
+        if revision < self._oldest_revision:
             return refuse(ErrorKind.HISTORY_GONE, "changes that aren't kept")
         later = (item.changes for item in self._batches if item.revision > revision)
         changes = tuple(chain.from_iterable(later))
         return EntryChanges(changes, max(revision, self._revision))
 
-    def _is_told(self, revision: int) -> bool:
-        if self._since is not None and revision < self._since:
+    def _has_answer(self, revision: int) -> bool:
+        if self._oldest_revision is not None and revision < self._oldest_revision:
             return True
         return any(item.revision > revision for item in self._batches)
--- a/pistachioglade/store/tests/scripted.py
+++ b/pistachioglade/store/tests/scripted.py
@@ -1,4 +1,4 @@
-"""A store and the ways to it in virtual time: waits take no time, bounds are exact."""
+"""A simulated store and its routes on a virtual clock: waits take no real time."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from ...http1 import Fields, Response
 
 T = TypeVar("T")
-#: Time of an answer of the store.
+#: Time in which the store answers, in seconds.
 _ANSWER_S = 0.004
-#: Silence after which the kernel gives a connection up (TCP_KEEPIDLE and its probes).
+#: Silence after which the kernel closes a connection (TCP_KEEPIDLE and its probes).
 _SILENCE_S = 3.0
 
 
-class _JumpingSelector(selectors.DefaultSelector):
-    """Moves the loop's clock instead of waiting."""
+class _VirtualSelector(selectors.DefaultSelector):
+    """Advances the loop's clock instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -39,7 +39,7 @@
 
 class _VirtualLoop(asyncio.SelectorEventLoop):
     def __init__(self) -> None:
-        self._clock = _JumpingSelector()
+        self._clock = _VirtualSelector()
         super().__init__(self._clock)
 
     def time(self) -> float:
@@ -47,13 +47,13 @@
 
 
 def run_virtual(work: Callable[[], Awaitable[T]]) -> T:
-    """Run to the end on a clock that starts at 0 s and jumps from wait to wait."""
+    """Run ``work`` on a virtual clock that starts at 0 s and skips all waits."""
 
-    async def whole() -> T:
+    async def main() -> T:
         return await work()
 
     with asyncio.Runner(loop_factory=_VirtualLoop) as runner:
-        return runner.run(whole())
+        return runner.run(main())
 
 
 def now_s() -> float:
@@ -61,7 +61,7 @@
 
 
 async def until(at_s: float) -> None:
-    """Wait until a moment of the virtual clock."""
+    """Wait until a time of the virtual clock, in seconds."""
     await asyncio.sleep(at_s - now_s())
 
 
@@ -74,38 +74,38 @@
 
 
 class ScriptedStore:
-    """Objects with revisions, lists and watches."""
+    """Simulates the platform's store: objects with revisions, lists and watches."""
 
     def __init__(self) -> None:
         self._objects: dict[tuple[str, str], Any] = {}
         self._events: list[_Event] = []
         self._changed = asyncio.Event()
         self.revision = 1
-        # What lists and watches are answered with instead; None for the truth.
-        self.spoilt: bytes | None = None
-        # How often they were.
-        self.spoilt_answers = 0
+        # Body of the answers to lists and watches; None for the correct answers.
+        self.corrupt_body: bytes | None = None
+        # Number of lists and watches that were answered with that body.
+        self.corrupt_answers = 0
 
     def put(self, kind: str, name: str, value: Any) -> None:
         metadata = {"name": name, "revision": self.revision + 1}
-        self.put_whole(kind, name, {"metadata": metadata, "specification": value})
+        self.put_fields(kind, name, {"metadata": metadata, "specification": value})
 
-    def put_whole(self, kind: str, name: str, fields: Any) -> None:
-        """Store an object as another writer may, with whatever metadata."""
+    def put_fields(self, kind: str, name: str, fields: Any) -> None:
+        """Store an object as another writer may, with any metadata."""
         self._objects[kind, name] = fields
-        self._happened(kind, fields, False)
+        self._record_event(kind, fields, False)
 
     def remove(self, kind: str, name: str) -> None:
-        self._happened(kind, self._objects.pop((kind, name)), True)
+        self._record_event(kind, self._objects.pop((kind, name)), True)
 
-    def _happened(self, kind: str, fields: Any, is_removed: bool) -> None:
+    def _record_event(self, kind: str, fields: Any, is_removed: bool) -> None:
         self.revision += 1
         self._events.append(_Event(self.revision, kind, fields, is_removed))
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def answer(self, method: str, target: str) -> Response:
-        """Answer a read as the platform's store does; writes are refused."""
+        """Answer a read as the platform's store does; refuse writes."""
         await asyncio.sleep(_ANSWER_S)
         parts = urlsplit(target)
         kind, _, name = unquote(parts.path.removeprefix("/v1/objects/")).partition("/")
@@ -115,9 +115,9 @@
         if name:
             found = self._objects.get((kind, name))
             return Response(404) if found is None else _json(found)
-        if self.spoilt is not None:
-            self.spoilt_answers += 1
-            return Response(200, (), self.spoilt)
+        if self.corrupt_body is not None:
+            self.corrupt_answers += 1
+            return Response(200, (), self.corrupt_body)
         if "watch" in query:
             hold_s = int(query["wait-timeout-ms"]) / 1000.0
             return await self._watch(kind, int(query["watch"]), hold_s)
@@ -147,19 +147,19 @@
 
 
 class Condition(Enum):
-    """How a way to the store behaves."""
+    """How a route to the store behaves."""
 
     WHOLE = "whole"
     # Nothing arrives and nothing comes back.
     SILENT = "silent"
-    # Each call is answered with 503, and held ones are cut off.
+    # Each call is answered with 503, and the connections of held calls are lost.
     REFUSED = "refused"
-    # Two calls of three are answered with 429.
+    # Two of three calls are answered with 429.
     CROWDED = "crowded"
 
 
 class ScriptedWay:
-    """Stands in for the pool of connections of one node to a store."""
+    """Replaces the connection pool of one node to a store."""
 
     host = "store"
     port = 1
@@ -167,19 +167,19 @@
     def __init__(self, store: ScriptedStore) -> None:
         self._store = store
         self._condition = Condition.WHOLE
-        self._turned = asyncio.Event()
+        self._condition_changed = asyncio.Event()
         self._count = 0
 
     def turn(self, condition: Condition) -> None:
-        """Change how the way behaves, for calls under way as well."""
+        """Change how the route behaves, also for calls in flight."""
         self._condition = condition
-        self._turned.set()
-        self._turned = asyncio.Event()
+        self._condition_changed.set()
+        self._condition_changed = asyncio.Event()
 
     async def request(
         self, method: str, target: str, fields: Fields, body: bytes, timeout_s: float
     ) -> Response | Refusal:
-        """Make one call as a pool does."""
+        """Make one call like a connection pool."""
         async with asyncio.timeout(timeout_s):
             self._count += 1
             if self._condition is Condition.REFUSED:
@@ -197,13 +197,13 @@
             return refuse(ErrorKind.UPSTREAM_LOST, "connection lost")
 
     async def _answer(self, method: str, target: str) -> Response | None:
-        """Return the store's answer; None if the way is lost before it."""
+        """Return the store's answer; None if the route fails before the answer."""
         call = asyncio.create_task(self._store.answer(method, target))
         try:
             while not call.done():
-                turned = asyncio.create_task(self._turned.wait())
-                await asyncio.wait((call, turned), return_when=asyncio.FIRST_COMPLETED)
-                turned.cancel()
+                changed = asyncio.create_task(self._condition_changed.wait())
+                await asyncio.wait((call, changed), return_when=asyncio.FIRST_COMPLETED)
+                changed.cancel()
                 if self._condition in (Condition.SILENT, Condition.REFUSED):
                     return None
             return call.result()
--- a/pistachioglade/store/tests/served.py
+++ b/pistachioglade/store/tests/served.py
@@ -1,4 +1,4 @@
-"""The store's stand-in in this process, behind a server that can fall silent."""
+"""The store's stand-in in this process, behind a server with injected failures."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 from .. import StoreClient
 
 T = TypeVar("T")
-#: Calls that are answered at once; five watches each of a dozen processes and more.
+#: Number of concurrent calls: at least five watches each of a dozen processes.
 _THREADS = 128
 
 
 class ServedStore:
-    """The stand-in with its server."""
+    """Serves the stand-in and injects failures."""
 
     def __init__(self) -> None:
         self.standin = ObjectApiStandin()
         # While set, requests are read and never answered.
         self.is_silent = False
-        # While set, watches are read and never answered, other calls are.
+        # While set, watches are read and never answered; other calls are answered.
         self.late_watches = False
-        # How many of the next answers are dropped with their connections.
+        # Number of the next answers that are dropped with their connections.
         self.dropped_answers = 0
         self.calls: list[str] = []
         self.port = 0
-        # Each watch holds one, also of processes that have been killed meanwhile.
+        # Each watch occupies a thread, also after its process has been killed.
         self._threads = ThreadPoolExecutor(_THREADS)
 
     async def handle(self, request: Request, reply: Reply) -> None:
@@ -73,7 +73,7 @@
 
 
 async def eventually(holds: Callable[[], bool]) -> None:
-    """Wait until something holds; the test's own bound ends a hang."""
+    """Wait until a condition holds; the timeout of :func:`run` ends a hang."""
     while not holds():
         await asyncio.sleep(0.01)
 
--- a/pistachioglade/store/tests/test_foreign_writer.py
+++ b/pistachioglade/store/tests/test_foreign_writer.py
@@ -1,7 +1,7 @@
-"""Copies of lists in which another writer has left what can't be read.
+"""Copies of lists that contain unreadable objects of another writer.
 
-One object without a name, or bytes that are no JSON, ended the copy's task: the node
-went on for the rest of its life with a list that nobody updated any more.
+Guards against a copy whose task ends at an object without a name or at bytes that are
+not JSON: the node would use an outdated list until its next start.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 from .. import Mirror, StoreClient
 from .scripted import ScriptedStore, ScriptedWay, run_virtual
 
-#: Time within which a copy has to be right again: two pauses and three answers.
-_SOON_S = 3.0
+#: Time within which a copy has to be correct again: two pauses and three answers.
+_CORRECT_WITHIN_S = 3.0
 
 
 @attrs.frozen
-class _Copied:
+class _Copy:
     store: ScriptedStore
     mirror: Mirror
 
-    async def is_right(self) -> bool:
-        """Whether the copy soon holds the objects that have a name."""
-        await asyncio.sleep(_SOON_S)
+    async def becomes_correct(self) -> bool:
+        """Whether the copy holds all named objects after ``_CORRECT_WITHIN_S``."""
+        await asyncio.sleep(_CORRECT_WITHIN_S)
         named = {
             name
             for (_, name), fields in self.store._objects.items()
@@ -40,78 +40,80 @@
 
 
 @asynccontextmanager
-async def _copied(taken: Callable[[Any, bool], None]) -> AsyncIterator[_Copied]:
+async def _running_copy(on_change: Callable[[Any, bool], None]) -> AsyncIterator[_Copy]:
     store = ScriptedStore()
     client = StoreClient("store", 1)
     client._pool = ScriptedWay(store)  # type: ignore[assignment]
-    mirror = Mirror(client, "kind", taken)
+    mirror = Mirror(client, "kind", on_change)
     store.put("kind", "a", 1)
     tasks = [
         asyncio.create_task(work) for work in (mirror.run(), client.beat("k", "-"))
     ]
     try:
         await mirror.is_synced.wait()
-        yield _Copied(store, mirror)
+        yield _Copy(store, mirror)
         assert not tasks[0].done()
     finally:
         for task in tasks:
             task.cancel()
 
 
-def _play(case: Callable[[_Copied], Awaitable[None]]) -> None:
+def _run_case(case: Callable[[_Copy], Awaitable[None]]) -> None:
     async def work() -> None:
-        async with _copied(lambda _entry, _is_removed: None) as copied:
-            await case(copied)
+        async with _running_copy(lambda _entry, _is_removed: None) as copy:
+            await case(copy)
 
     run_virtual(work)
 
 
 @pytest.mark.parametrize("fields", [None, 7, [], {}, {"metadata": None}, "x" * 99])
-def test_an_object_without_a_name_hurts_no_other(fields: Any) -> None:
-    async def case(copied: _Copied) -> None:
-        copied.store.put_whole("kind", "?", fields)
-        copied.store.put("kind", "b", 2)
-        assert await copied.is_right()
-        copied.store.remove("kind", "?")
-        copied.store.remove("kind", "a")
-        assert await copied.is_right()
+def test_an_object_without_a_name_leaves_the_others_in_the_copy(fields: Any) -> None:
+    async def case(copy: _Copy) -> None:
+        copy.store.put_fields("kind", "?", fields)
+        copy.store.put("kind", "b", 2)
+        assert await copy.becomes_correct()
+        copy.store.remove("kind", "?")
+        copy.store.remove("kind", "a")
+        assert await copy.becomes_correct()
 
-    _play(case)
+    _run_case(case)
 
 
 @pytest.mark.parametrize(
     "body", [b"", b"<html>", b"[]", b"{}", b'{"at": 3}', b'{"events": 3, "at": 3}']
 )
-def test_bytes_that_are_no_answer_are_a_failed_call(body: bytes) -> None:
-    async def case(copied: _Copied) -> None:
-        copied.store.put("kind", "b", 2)
+def test_an_unreadable_answer_is_retried_once_a_second_and_keeps_the_copy(
+    body: bytes,
+) -> None:
+    async def case(copy: _Copy) -> None:
+        copy.store.put("kind", "b", 2)
         await asyncio.sleep(1.0)
-        copied.store.spoilt = body
-        copied.store.put("kind", "c", 3)
+        copy.store.corrupt_body = body
+        copy.store.put("kind", "c", 3)
         await asyncio.sleep(20.0)
-        # The last good copy stays, and the store is asked once a second.
-        assert set(copied.mirror.entries) >= {"a", "b"}
-        assert copied.store.spoilt_answers <= 21
-        copied.store.spoilt = None
-        assert await copied.is_right()
+        # The last correct copy stays, and the store is asked once a second.
+        assert set(copy.mirror.entries) >= {"a", "b"}
+        assert copy.store.corrupt_answers <= 21
+        copy.store.corrupt_body = None
+        assert await copy.becomes_correct()
 
-    _play(case)
+    _run_case(case)
 
 
-def test_an_object_that_its_taker_fails_at_hurts_no_other() -> None:
-    taken: list[str] = []
+def test_an_object_at_which_on_change_fails_leaves_the_others_in_the_copy() -> None:
+    on_change: list[str] = []
 
-    def take(entry: Any, _is_removed: bool) -> None:
+    def record(entry: Any, _is_removed: bool) -> None:
         if entry.value == "poison":
             raise ZeroDivisionError
-        taken.append(entry.name)
+        on_change.append(entry.name)
 
     async def work() -> None:
-        async with _copied(take) as copied:
-            copied.store.put("kind", "b", "poison")
-            copied.store.put("kind", "c", 1)
-            assert await copied.is_right()
-            assert taken == ["a", "c"]
+        async with _running_copy(record) as copy:
+            copy.store.put("kind", "b", "poison")
+            copy.store.put("kind", "c", 1)
+            assert await copy.becomes_correct()
+            assert on_change == ["a", "c"]
 
     run_virtual(work)
 
@@ -130,8 +132,8 @@
 def test_a_copy_ends_equal_to_the_readable_objects(
     steps: list[tuple[str, str]],
 ) -> None:
-    async def case(copied: _Copied) -> None:
-        store = copied.store
+    async def case(copy: _Copy) -> None:
+        store = copy.store
         for step, name in steps:
             match step:
                 case "put":
@@ -139,14 +141,14 @@
                 case "remove" if ("kind", name) in store._objects:
                     store.remove("kind", name)
                 case "nameless":
-                    store.put_whole("kind", f"?{name}", {"metadata": {}})
+                    store.put_fields("kind", f"?{name}", {"metadata": {}})
                 case "spoil":
-                    store.spoilt = b"{"
+                    store.corrupt_body = b"{"
                 case "mend":
-                    store.spoilt = None
+                    store.corrupt_body = None
                 case "wait":
                     await asyncio.sleep(0.3)
-        store.spoilt = None
-        assert await copied.is_right()
+        store.corrupt_body = None
+        assert await copy.becomes_correct()
 
-    _play(case)
+    _run_case(case)
