--- a/pistachioglade/platform/__init__.py
+++ b/pistachioglade/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Adapter to the users' platform: its names, formats and calls; it decides nothing."""
+"""Adapter to the users' platform: names, formats and calls, without decisions."""
 
 from . import _names as names
 from ._configuration import (
--- a/pistachioglade/platform/_configuration.py
+++ b/pistachioglade/platform/_configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration and the list of instances, as the store has them."""
+"""Decoders of the operator's configuration, instances and named weight versions."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 )
 from ._objects import is_whole
 
-_KINDS: Final = MappingProxyType(
+_ROUTE_KINDS: Final = MappingProxyType(
     {
         "idempotent": RouteKind.IDEMPOTENT,
         "non_idempotent": RouteKind.AT_MOST_ONCE,
@@ -29,15 +29,15 @@
     }
 )
 
-#: What the states of an instance say of its leaving.
+#: Whether an instance is leaving, by its state.
 _IS_LEAVING: Final = MappingProxyType({"ready": False, "draining": True})
-#: Most slots of an instance: a thousand times what the largest one has.
-_MOST_SLOTS: Final = 10_000
-#: Longest text of a field that is read: names and addresses have under 60 characters.
-_MOST_CHARS: Final = 512
-_LAST_PORT: Final = 65_535
-#: What reading fields of unknown shape may raise.
-_NO_FIELDS: Final = (
+#: Most slots of an instance: a thousand times the slots of the largest instance.
+_MAX_SLOTS: Final = 10_000
+#: Longest text of a field; names and addresses have fewer than 60 characters.
+_MAX_CHARS: Final = 512
+_MAX_PORT: Final = 65_535
+#: Errors that decoding fields of unknown shape may raise.
+_DECODE_ERRORS: Final = (
     AttributeError,
     KeyError,
     IndexError,
@@ -46,12 +46,12 @@
     ValueError,
 )
 
-#: Limits for callers where a configuration names none; those of the pages' examples.
+#: Limits for callers if a configuration names none, as in the platform's examples.
 DEFAULT_LIMITS: Final = CallerLimits(16384, 32 * 1024 * 1024, 3.0, 15.0)
 
 
 def decode_configuration(fields: Mapping[str, Any]) -> Configuration | Refusal:
-    """Return a configuration, or what is wrong with it."""
+    """Return a configuration, or a refusal that names the fault."""
     try:
         upstreams = [_upstream(item) for item in fields.get("services", ())]
         return Configuration(
@@ -60,8 +60,8 @@
             upstreams={item.name: item for item in upstreams},
             limits=_limits(fields.get("limits") or {}),
         )
-    except _NO_FIELDS as error:
-        return _refused("configuration", error)
+    except _DECODE_ERRORS as error:
+        return _unreadable("configuration", error)
 
 
 def _route(fields: Mapping[str, Any]) -> Route:
@@ -70,7 +70,7 @@
         name=_text(fields, "name"),
         host=_text(fields, "host"),
         prefix=_text(fields, "path-prefix"),
-        kind=_KINDS[fields["type"]],
+        kind=_ROUTE_KINDS[fields["type"]],
         shares=tuple(
             Share(_text(item, "service"), float(item["weight"])) for item in split
         ),
@@ -98,7 +98,7 @@
 
 
 def _upstream(fields: Mapping[str, Any]) -> Upstream:
-    # "engine-id" holds the limits of a model engine, not an id.
+    # "engine-id" contains the properties of a model engine, not an id.
     engine = fields.get("engine-id") or {}
     return Upstream(
         name=_text(fields, "name"),
@@ -120,10 +120,10 @@
 
 
 def decode_instance(name: str, fields: Any) -> Instance | Refusal:
-    """Return an entry of the list of instances, or what is wrong with it.
+    """Return an instance of the list, or a refusal that names the fault.
 
-    Anybody may have written it: one that lacks a field that all have, or has one of
-    another type or an unknown state, names no instance.
+    Any writer may have written the entry. An entry that lacks a mandatory field, has a
+    field of a wrong type or has an unknown state is refused.
     """
     try:
         address = _address(_text(fields, "address"))
@@ -137,57 +137,57 @@
             host=address[0],
             port=address[1],
             domain=fields["zone"],
-            slots=_whole(fields, "slots", 1, _MOST_SLOTS),
+            slots=_integer(fields, "slots", 1, _MAX_SLOTS),
             is_leaving=_IS_LEAVING[fields["state"]],
             versions=_versions(fields.get("models") or ()),
-            born_ms=_whole(fields, "born", 1) if "born" in fields else 0,
+            born_ms=_integer(fields, "born", 1) if "born" in fields else 0,
         )
-    except _NO_FIELDS as error:
-        return _refused(f"instance {name:.80}", error)
+    except _DECODE_ERRORS as error:
+        return _unreadable(f"instance {name:.80}", error)
 
 
 def _versions(models: Any) -> dict[str, int]:
-    return {_text(item, "name"): _whole(item, "version") for item in models}
+    return {_text(item, "name"): _integer(item, "version") for item in models}
 
 
 def decode_version(fields: Any) -> tuple[str, int] | Refusal:
-    """Return the model and the weight version that its trainer has named."""
+    """Return the model and the weight version that a trainer has named."""
     try:
-        return _text(fields, "model"), _whole(fields, "version", 1)
-    except _NO_FIELDS as error:
-        return _refused("weight version", error)
+        return _text(fields, "model"), _integer(fields, "version", 1)
+    except _DECODE_ERRORS as error:
+        return _unreadable("weight version", error)
 
 
-def _refused(what: str, error: Exception) -> Refusal:
-    """Return a refusal whose reason is bounded, whatever the fields hold."""
+def _unreadable(what: str, error: Exception) -> Refusal:
+    """Return a refusal whose reason is short, whatever the fields contain."""
     reason = f"{what}: {type(error).__name__} {error!s:.120}"
     return refuse(ErrorKind.UNREADABLE, reason)
 
 
 def _text(fields: Any, name: str) -> str:
     value = fields[name]
-    if not isinstance(value, str) or not 0 < len(value) <= _MOST_CHARS:
-        raise ValueError(f"{name} is no text of 1 to {_MOST_CHARS} characters")
+    if not isinstance(value, str) or not 0 < len(value) <= _MAX_CHARS:
+        raise ValueError(f"{name} must be a text of 1 to {_MAX_CHARS} characters")
     return value
 
 
 def _number(fields: Any, name: str) -> float:
     value = fields[name]
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise TypeError(f"{name} is no number")
+        raise TypeError(f"{name} must be a number")
     return value
 
 
-def _whole(fields: Any, name: str, least: int = 0, most: int = 2**53) -> int:
+def _integer(fields: Any, name: str, minimum: int = 0, maximum: int = 2**53) -> int:
     value = fields[name]
-    if not is_whole(value) or not least <= value <= most:
-        raise ValueError(f"{name} is no whole number from {least} to {most}")
+    if not is_whole(value) or not minimum <= value <= maximum:
+        raise ValueError(f"{name} must be an integer from {minimum} to {maximum}")
     return int(value)
 
 
 def _address(text: str) -> tuple[str, int]:
-    """Return the host and port of an address; ValueError if it names none."""
+    """Return the host and port of an address; raise ValueError if it has none."""
     host, _, port = text.rpartition(":")
-    if not port.isdecimal() or not 0 < int(port) <= _LAST_PORT:
+    if not port.isdecimal() or not 0 < int(port) <= _MAX_PORT:
         raise ValueError(f"no port in {text!a}")
     return str(IPv4Address(host)), int(port)
--- a/pistachioglade/platform/_engine_calls.py
+++ b/pistachioglade/platform/_engine_calls.py
@@ -1,4 +1,4 @@
-"""Calls to engines and what their answers say."""
+"""Header fields of requests and answers, engine reports and weight orders."""
 
 from __future__ import annotations
 
@@ -14,55 +14,58 @@
 
 @attrs.frozen
 class InstanceLoad:
-    """An instance's own word on its load."""
+    """The load that an instance reports in an answer."""
 
-    # Requests that run.
+    # Number of running requests.
     running: int
-    # Requests that wait.
+    # Number of queued requests.
     waiting: int
-    # Requests that may run at once.
+    # Number of requests that may run concurrently.
     slots: int
 
 
 def request_fields(
     fields: Fields, instance_id: str, remaining_s: float, request_id: str | None = None
 ) -> Fields:
-    """Return the fields of a request that goes to one named instance."""
+    """Return the fields with which a request is forwarded to one instance.
+
+    ``request_id`` replaces the caller's id of the request unless it is None.
+    """
     replaced = {names.DEADLINE_MS.lower(), names.EXPECTED_INSTANCE.lower()}
-    own = [
+    added = [
         (names.EXPECTED_INSTANCE, instance_id),
         (names.DEADLINE_MS, str(max(1, int(remaining_s * 1000.0)))),
     ]
     if request_id is not None:
         replaced.add(names.ATTEMPT_ID.lower())
-        own.append((names.ATTEMPT_ID, request_id))
+        added.append((names.ATTEMPT_ID, request_id))
     kept = (item for item in fields if item[0].lower() not in replaced)
-    return (*kept, *own)
+    return (*kept, *added)
 
 
 def resume_fields(last_event: int) -> Fields:
-    """Return the field that asks for the events behind one that has come."""
+    """Return the field that asks a stream for the events after ``last_event``."""
     return ((names.LAST_EVENT_ID, str(last_event)),)
 
 
 def last_event_of(fields: Fields) -> int | None:
-    """Return the last event that a caller has had of a stream; None if none."""
+    """Return the last event of a stream that the caller has; None if none."""
     text = first_field(fields, names.LAST_EVENT_ID)
     return int(text) if text and text.isdigit() else None
 
 
 def expected_instance_fields(instance_id: str) -> Fields:
-    """Return the field that only the named instance takes a call with."""
+    """Return the field with which all other instances refuse a call."""
     return ((names.EXPECTED_INSTANCE, instance_id),)
 
 
 def version_fields(version: int) -> Fields:
-    """Return the field that ties a request to one weight version."""
+    """Return the field that pins a request to one weight version."""
     return ((names.EXPECTED_VERSION, str(version)),)
 
 
 def priority_fields(priority: int) -> Fields:
-    """Return the field that ranks a request at its engine; 0 is first, 9 last."""
+    """Return the field with a request's priority, from 0 (highest) to 9 (lowest)."""
     return ((names.REQUEST_PRIORITY, str(priority)),)
 
 
@@ -72,29 +75,29 @@
 
 
 def caller_deadline_s(fields: Fields) -> float | None:
-    """Return how long the caller waits, in seconds."""
+    """Return how long the caller waits, in seconds; None if unknown."""
     text = first_field(fields, names.DEADLINE_MS)
     return float(text) / 1000.0 if text and text.isdigit() else None
 
 
 def wait_s(fields: Fields) -> float:
-    """Return how long a reader's call may be held, in seconds."""
+    """Return how long the answer to a reader may be held, in seconds."""
     text = first_field(fields, names.WAIT_MS)
     return float(text) / 1000.0 if text and text.isdigit() else 0.0
 
 
 def did_not_run(head: ResponseHead | Response) -> bool:
-    """Whether the instance says that it did not run the request."""
+    """Whether the instance reports that it did not run the request."""
     return head.status == 421 or head.field(names.NOT_EXECUTED) is not None
 
 
 def is_misdirected(head: ResponseHead | Response) -> bool:
-    """Whether the answer is of an instance that the request isn't for."""
+    """Whether the request reached another instance than the expected one."""
     return head.status == 421
 
 
 def is_signed(head: ResponseHead | Response) -> bool:
-    """Whether the answer bears the instance's signature."""
+    """Whether the answer has the instance's signature."""
     return head.field(names.SIGNATURE) is not None
 
 
@@ -104,13 +107,13 @@
 
 
 def belongs_to(head: ResponseHead | Response, expected_id: str) -> bool:
-    """Whether the answer is to the request with this id."""
+    """Whether the answer belongs to the request ``expected_id``."""
     echoed = head.field(names.ATTEMPT_ID)
     return echoed is None or echoed == expected_id
 
 
 def instance_load(head: ResponseHead | Response) -> InstanceLoad | None:
-    """Return the load that the answer tells; None if it tells none."""
+    """Return the load that the answer reports; None if there is none."""
     text = head.field(names.INSTANCE_LOAD)
     parts = (text or "").split(",")
     if len(parts) != 3 or not all(part.strip().isdigit() for part in parts):
@@ -120,29 +123,29 @@
 
 
 def weight_version(head: ResponseHead) -> int | None:
-    """Return the weight version that the answer starts with."""
+    """Return the weight version at the start of the answer; None if unknown."""
     text = head.field(names.WEIGHT_VERSIONS)
     return int(text) if text and text.isdigit() else None
 
 
 @attrs.frozen
 class EngineState:
-    """A model engine's own report."""
+    """The report of a model engine on itself."""
 
-    # Weight version of each model.
+    # Model name to loaded weight version.
     versions: Mapping[str, int]
-    # Whether an order is being carried out.
+    # Whether the engine is carrying out an order.
     is_busy: bool
-    # Orders that it has accepted since its start.
+    # Number of orders that the engine has accepted since its start.
     orders: int
-    # Id of the engine; empty if it names none.
+    # Id of the engine; empty if the report has none.
     instance_id: str
-    # When this run of it began, in milliseconds since the epoch; 0 if it doesn't say.
+    # Start time of the engine's process, in milliseconds since the epoch; 0 if unknown.
     born_ms: int = 0
 
 
 def decode_engine_state(answer: Response) -> EngineState | Refusal:
-    """Return the report in an engine's answer."""
+    """Return the report in an engine's answer, or a refusal if it is unreadable."""
     if answer.status != 200:
         reason = f"engine report answered {answer.status}"
         return refuse(ErrorKind.UPSTREAM_REJECTED, reason)
@@ -162,21 +165,26 @@
 
 
 def encode_weight_order(
-    model: str, version: int, lets_runs_finish: bool, holder: str, fence: int, seen: int
+    model: str,
+    version: int,
+    waits_for_runs: bool,
+    holder: str,
+    fence: int,
+    orders_seen: int,
 ) -> bytes:
-    """Return the order that brings an engine to a weight version.
+    """Return the order with which an engine loads a weight version.
 
-    ``seen`` is the engine's count of orders; it refuses the order if another came
-    in between.
+    ``orders_seen`` is the number of orders in the engine's last report; the engine
+    refuses the order if it has accepted another order since.
     """
     return json.dumps(
         {
             "operation": "version",
             "model": model,
             "version": version,
-            "switch-mode": "waiting" if lets_runs_finish else "keep_running",
+            "switch-mode": "waiting" if waits_for_runs else "keep_running",
             "holder": holder,
             "fencing-token": fence,
-            "expect": seen,
+            "expect": orders_seen,
         }
     ).encode()
--- a/pistachioglade/platform/_names.py
+++ b/pistachioglade/platform/_names.py
@@ -1,4 +1,4 @@
-"""Header fields and words of the platform's wire."""
+"""Header fields, paths and object kinds of the platform's wire protocol."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 INSTANCE_LOAD: Final = "Pistachioglade-Instance-Load"
 NOT_EXECUTED: Final = "Pistachioglade-Not-Executed"
 MODEL: Final = "Pistachioglade-Model"
-#: Prompt tokens and most output tokens, with a comma between them.
+#: Number of prompt tokens and limit of output tokens, separated by a comma.
 TOKEN_USAGE: Final = "Pistachioglade-Token-Usage"
 LENGTH_HINT: Final = "Pistachioglade-Length-Hint"
 REQUEST_PRIORITY: Final = "Pistachioglade-Request-Priority"
@@ -21,18 +21,20 @@
 WEIGHT_VERSIONS: Final = "Pistachioglade-Weight-Versions"
 LAST_EVENT_ID: Final = "Last-Event-Id"
 
-#: First line of an event at which the weight version changes.
+#: First line of a stream event at which the weight version changes.
 VERSION_LINE: Final = WEIGHT_VERSIONS.lower()
 
 READINESS_PATH: Final = "/v1/readiness"
+#: Path prefix of jobs; the platform calls a job a lot.
 JOB_PATH: Final = "/v1/lots/"
 ITEM_PATH: Final = "/v1/items/"
 ENGINE_STATE_PATH: Final = "/v1/report"
 ENGINE_ORDER_PATH: Final = "/v1/order"
 
-#: Kinds of objects in the store that others write.
+#: Kinds of objects that other writers store, and the configuration object's name.
 CONFIGURATION_KIND: Final = "config"
 CONFIGURATION_NAME: Final = "main"
 INSTANCE_KIND: Final = "servers"
 VERSION_KIND: Final = "versions"
+#: A retirement is a request to drain a machine.
 RETIREMENT_KIND: Final = "retirements"
--- a/pistachioglade/platform/_objects.py
+++ b/pistachioglade/platform/_objects.py
@@ -1,4 +1,4 @@
-"""The store's calls and answers: objects with revisions, lists and watches."""
+"""Calls to the store and decoders of its answers: objects, lists and watches."""
 
 from __future__ import annotations
 
@@ -12,11 +12,12 @@
 from ..http1 import Response
 
 _ROOT: Final = "/v1/objects"
-#: Longest name of an object that is read: the longest of ours has under 80 characters,
-#: and a path of a megabyte would be refused.
+#: Longest object name that is accepted, in characters. The service's own names have
+#: fewer than 80, and the store would refuse a path of a megabyte.
 _MAX_NAME_CHARS: Final = 512
-#: Digits of the largest whole number that is read as such: any that a float can hold.
-#: Values carry nonces of 64 bits and more; the language refuses to read 4,300 digits.
+#: Most digits of an integer that is decoded as an integer: about the range of a float.
+#: Values carry nonces of 64 bits and more; Python refuses to parse more than 4,300
+#: digits.
 _MAX_DIGITS: Final = 300
 
 
@@ -26,35 +27,35 @@
 
     # Name, unique in its kind.
     name: str
-    # Revision of its last change.
+    # Revision of the store at the last change of the object.
     revision: int
-    # Value.
+    # The specification, as JSON data.
     value: Any
-    # What is said of the value by whoever acts on it; None if nothing is.
+    # Status that the process which acts on the object reports; None if it has none.
     status: Any
 
 
 @attrs.frozen
 class EntryPage:
-    """A part of the list of a kind."""
+    """One page of the list of a kind."""
 
-    # Objects by name.
+    # Objects in the order of their names.
     entries: tuple[Entry, ...]
-    # Whether more follow behind the last name.
+    # Whether there are more objects after the last name.
     has_more: bool
     # Revision of the store that the page shows.
     revision: int
-    # How many of its objects can't even be named.
+    # Number of objects of the page without a readable name.
     nameless: int = 0
 
 
 @attrs.frozen
 class EntryChange:
-    """A change that a watch tells."""
+    """A change in the answer of a watch."""
 
-    # The object, as it is now or as it was.
+    # The object after the change, or before its removal.
     entry: Entry
-    # Whether it was removed.
+    # Whether the object was removed.
     is_removed: bool
 
 
@@ -62,17 +63,17 @@
 class EntryChanges:
     """The answer of a watch."""
 
-    # Changes in their order.
+    # Changes in the order of their revisions.
     changes: tuple[EntryChange, ...]
-    # Revision from which to watch on.
+    # Revision after which to continue the watch.
     revision: int
-    # How many of them are of objects that can't even be named.
+    # Number of changes of objects without a readable name.
     nameless: int = 0
 
 
 @attrs.frozen
 class StoreCall:
-    """One call to the store, as it goes on the wire."""
+    """One HTTP call to the store."""
 
     # HTTP method.
     method: str
@@ -80,7 +81,7 @@
     target: str
     # Body; empty for reads.
     body: bytes = b""
-    # Whether the answer is held until there is something to tell.
+    # Whether the store holds the answer until there is a change.
     is_watch: bool = False
 
 
@@ -89,14 +90,14 @@
 
 
 def read_call(kind: str, name: str, may_be_old: bool = False) -> StoreCall:
-    """Read one object; one that may be some seconds old costs a tenth."""
+    """Read one object; a read that may be some seconds stale costs a tenth."""
     return StoreCall("GET", _path(kind, name) + ("?allow-stale=1" * may_be_old))
 
 
 def list_call(kind: str, after: str, may_be_old: bool = False) -> StoreCall:
     """Read the objects whose names follow ``after``.
 
-    A list that may be some seconds old costs a tenth.
+    A list that may be some seconds stale costs a tenth.
     """
     after_part = (f"after={quote(after, safe='')}",) if after else ()
     query = "&".join((*after_part, *(("allow-stale=1",) if may_be_old else ())))
@@ -106,20 +107,20 @@
 def watch_call(
     kind: str, revision: int, wait_s: float, may_be_old: bool = False
 ) -> StoreCall:
-    """Wait for changes behind a revision; ones that may come late cost a tenth."""
+    """Wait for changes after a revision; a watch that may be stale costs a tenth."""
     query = f"watch={revision}&wait-timeout-ms={int(wait_s * 1000)}"
     query += "&allow-stale=1" * may_be_old
     return StoreCall("GET", f"{_ROOT}/{quote(kind)}?{query}", is_watch=True)
 
 
 def create_call(kind: str, name: str, value: Any) -> StoreCall:
-    """Create an object; refused if there is one of that name."""
+    """Create an object; the store refuses if an object has that name."""
     body = {"metadata": {"name": name}, "specification": value}
     return StoreCall("POST", f"{_ROOT}/{quote(kind)}", json.dumps(body).encode())
 
 
 def replace_call(kind: str, name: str, value: Any, revision: int | None) -> StoreCall:
-    """Replace an object, if it still has a revision where one is given."""
+    """Replace an object; if a revision is given, only at that revision."""
     metadata = {"name": name} | ({} if revision is None else {"revision": revision})
     body = {"metadata": metadata, "specification": value}
     return StoreCall("PUT", _path(kind, name), json.dumps(body).encode())
@@ -132,15 +133,15 @@
 
 
 def delete_call(kind: str, name: str, revision: int | None) -> StoreCall:
-    """Remove an object, if it still has a revision where one is given."""
+    """Remove an object; if a revision is given, only at that revision."""
     query = f"?revision={revision}" if revision is not None else ""
     return StoreCall("DELETE", _path(kind, name) + query)
 
 
 def decode_entry(fields: Any, revision: int = 0) -> Entry | Refusal:
-    """Return an object as anybody may have written it; its value may be anything.
+    """Return an object that any writer may have made; its value is not checked.
 
-    ``revision`` is that of the answer, for an object that tells none of its own.
+    ``revision`` is the revision of the answer, used for an object without its own.
     """
     metadata = fields.get("metadata") if isinstance(fields, dict) else None
     name = metadata.get("name") if isinstance(metadata, dict) else None
@@ -159,7 +160,7 @@
 
 
 def _is_text(value: str) -> bool:
-    """Whether a string can be written: JSON can hold halves of characters."""
+    """Whether a string can be encoded: JSON can contain lone surrogates."""
     try:
         value.encode()
     except UnicodeEncodeError:
@@ -168,14 +169,15 @@
 
 
 def is_whole(value: Any) -> TypeGuard[int]:
-    """Whether a value of JSON is a whole number."""
+    """Whether a JSON value is an integer."""
     return isinstance(value, int) and not isinstance(value, bool)
 
 
 def decode_json(body: bytes) -> Any | Refusal:
-    """Return the value of a body; bytes that are no text spoil only their own string.
+    """Return the JSON value of a body, or a refusal if the body is not JSON.
 
-    Numbers that no field holds become infinite.
+    Bytes that are not UTF-8 affect only the string that contains them. Integers of more
+    than ``_MAX_DIGITS`` digits become infinite.
     """
     try:
         text = body.decode("utf-8", "replace")
@@ -189,20 +191,20 @@
     return int(text) if len(text) <= _MAX_DIGITS else float("inf")
 
 
-def _told(body: bytes, items: str) -> dict[str, Any] | Refusal:
-    """Return a list's or watch's fields, if it is one."""
+def _decode_answer(body: bytes, items: str) -> dict[str, Any] | Refusal:
+    """Return the fields of the answer to a list or watch, if they are valid."""
     fields = decode_json(body)
     if isinstance(fields, Refusal):
         return fields
-    is_told = isinstance(fields, dict) and is_whole(fields.get("at"))
-    if not is_told or not isinstance(fields.get(items), list):
+    is_answer = isinstance(fields, dict) and is_whole(fields.get("at"))
+    if not is_answer or not isinstance(fields.get(items), list):
         return refuse(ErrorKind.UNREADABLE, f"an answer without {items} or revision")
     return cast(dict[str, Any], fields)
 
 
 def decode_page(body: bytes) -> EntryPage | Refusal:
     """Return a page of a list."""
-    fields = _told(body, "items")
+    fields = _decode_answer(body, "items")
     if isinstance(fields, Refusal):
         return fields
     read = [decode_entry(item, fields["at"]) for item in fields["items"]]
@@ -212,8 +214,8 @@
 
 
 def decode_changes(body: bytes) -> EntryChanges | Refusal:
-    """Return what a watch tells."""
-    fields = _told(body, "events")
+    """Return the changes in the answer of a watch."""
+    fields = _decode_answer(body, "events")
     if isinstance(fields, Refusal):
         return fields
     read = [_change(item, fields["at"]) for item in fields["events"]]
@@ -250,10 +252,10 @@
 
 
 def encode_retirement(is_completed: bool) -> dict[str, str]:
-    """Return the status of a request to empty a machine."""
+    """Return the status of a request to drain a machine."""
     return {"state": "completed" if is_completed else "running"}
 
 
 def is_retirement_open(status: Any) -> bool:
-    """Whether a request to empty a machine still waits for its end."""
+    """Whether a request to drain a machine is not completed yet."""
     return not (isinstance(status, dict) and status.get("state") == "completed")
--- a/pistachioglade/platform/_rollouts.py
+++ b/pistachioglade/platform/_rollouts.py
@@ -1,4 +1,4 @@
-"""Jobs, items and results as callers send and read them."""
+"""Jobs, items and results in the formats that callers send and read."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 def decode_job(
     job_id: str, host: str, path: str, fields: Mapping[str, Any]
 ) -> Job | Refusal:
-    """Return the job of a submission, or what is wrong with it."""
+    """Return the job of a submission, or a refusal that names the fault."""
     try:
         items = tuple(_item(item) for item in fields["items"])
         return Job(
@@ -54,9 +54,9 @@
 
 def _item(fields: Mapping[str, Any]) -> Item:
     headers = fields.get("headers") or {}
-    told = {name.lower(): value for name, value in headers.items()}
-    hint = told.get(LENGTH_HINT.lower())
-    _, _, most = str(told.get(TOKEN_USAGE.lower(), "")).partition(",")
+    by_name = {name.lower(): value for name, value in headers.items()}
+    hint = by_name.get(LENGTH_HINT.lower())
+    _, _, max_output = str(by_name.get(TOKEN_USAGE.lower(), "")).partition(",")
     scoring = fields.get("scoring-endpoint")
     return Item(
         id=fields["id"],
@@ -66,7 +66,7 @@
         body=_body(fields.get("body")),
         tokens=int(fields.get("token-count") or 0),
         expected_tokens=int(hint) if hint is not None else None,
-        most_tokens=int(most) if most else None,
+        most_tokens=int(max_output) if max_output else None,
         reward=_reward(scoring) if scoring else None,
     )
 
@@ -78,7 +78,7 @@
 
 
 def encode_result(result: Result) -> dict[str, Any]:
-    """Return a result as callers read it."""
+    """Return a result in the format that callers read."""
     fields: dict[str, Any] = {
         "id": result.item_id,
         "state": "completed" if result.is_completed else "terminated",
@@ -92,7 +92,7 @@
 
 
 def decode_result(fields: Mapping[str, Any]) -> Result:
-    """Return the result that :func:`encode_result` made."""
+    """Return the result that :func:`encode_result` encoded."""
     return Result(
         item_id=fields["id"],
         is_completed=fields["state"] == "completed",
@@ -103,9 +103,9 @@
 
 
 def encode_results_page(total: int, after: int, results: Sequence[str]) -> bytes:
-    """Return the answer to a reader who has the results before ``after``.
+    """Return the answer to a reader who has the first ``after`` results.
 
-    Each result is the JSON text of what :func:`encode_result` returned.
+    Each result is the JSON text of the fields that :func:`encode_result` returns.
     """
     head = f'{{"total": {total}, "next": {after + len(results)}, "results": ['
     return (head + ",".join(results) + "]}").encode()
--- a/pistachioglade/platform/_settings.py
+++ b/pistachioglade/platform/_settings.py
@@ -13,13 +13,13 @@
 #: Environment variable that holds the path of the settings file.
 SETTINGS_VARIABLE: Final = "PISTACHIOGLADE_CONFIG"
 
-#: Least time between two holders' orders where the settings name none.
+#: Lease duration if the settings name none, in seconds.
 _DEFAULT_LEASE_S: Final = 3.0
 
 
 @attrs.frozen
 class Address:
-    """Where a process listens or is reached."""
+    """Host and port at which a process listens."""
 
     # IP address.
     host: str
@@ -32,52 +32,52 @@
 
 @attrs.frozen
 class ProcessSettings:
-    """What a process is told at its start."""
+    """The settings that a process gets at its start."""
 
-    # Name of the machine that it runs on.
+    # Name of the machine on which the process runs.
     node: str
     # IP address of the machine.
     host: str
     # Failure domain.
     domain: str
-    # Where callers connect; None if they don't.
+    # Address at which callers connect; None if callers don't.
     callers: Address | None
-    # Where readiness is asked; None if it isn't.
+    # Address of the readiness probe; None if there is no probe.
     readiness: Address | None
-    # First port that the system's own processes may use among themselves.
+    # First port for links between the service's own processes.
     internal_port: int
-    # Last such port.
+    # Last port for those links.
     last_internal_port: int
-    # The store.
+    # Address of the store.
     store: Address
-    # Model engine on the same machine; None elsewhere.
+    # Address of the model engine on the same machine; None if there is none.
     engine: Address | None
-    # Interval at which instances renew their entries, in seconds.
+    # Interval at which instances renew their entries in the store, in seconds.
     heartbeat_s: float
-    # Time for which an instance that leaves still serves, in seconds.
+    # Time for which a draining instance still serves, in seconds.
     drain_s: float
     # Time between SIGTERM and SIGKILL, in seconds.
     grace_s: float
-    # Time within which a change of configuration has to be in force, in seconds.
+    # Time within which a new configuration has to take effect, in seconds.
     config_apply_s: float
     # Time for which a job's results are kept after its submission, in seconds.
     result_retention_s: float
-    # Largest object of the store, in bytes.
+    # Largest object that the store accepts, in bytes.
     max_object_bytes: int
-    # Processor of the machine, in cores.
+    # Processor capacity for the process, in cores of usual speed.
     cpu_cores: float
-    # Bandwidth of the machine's link, in megabits a second.
+    # Bandwidth of the machine's link, in megabits per second.
     link_mbps: float
     # Memory of the machine, in megabytes.
     memory_mb: int
-    # Least time between the orders of two holders to one engine, in seconds.
+    # Least time between orders of two lease holders to one engine, in seconds.
     lease_s: float = _DEFAULT_LEASE_S
-    # Whether engines refuse orders whose fencing token is lower than an earlier one.
+    # Whether engines refuse orders with a lower fencing token than an earlier order.
     checks_fences: bool = False
 
 
 def load_settings(path: Path) -> ProcessSettings | Refusal:
-    """Read and check a settings file; a fault names its file and field."""
+    """Read and check a settings file; a refusal names the file and the field."""
     try:
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as error:
@@ -91,7 +91,7 @@
 
 
 class _FieldError(ValueError):
-    """A field that is missing or has a wrong value."""
+    """A field is missing or has a wrong value."""
 
 
 def _decode(fields: Mapping[str, str]) -> ProcessSettings:
@@ -102,9 +102,9 @@
         domain=_text(fields, "zone"),
         callers=_address(fields, "listen.frontend"),
         readiness=_address(fields, "listen.ready"),
-        internal_port=_whole("internal-port-range", first_port),
-        last_internal_port=_whole("internal-port-range", last_port),
-        store=_needed_address(fields, "platform.address"),
+        internal_port=_integer("internal-port-range", first_port),
+        last_internal_port=_integer("internal-port-range", last_port),
+        store=_required_address(fields, "platform.address"),
         engine=_address(fields, "app"),
         heartbeat_s=_number(fields, "heartbeat-interval-ms") / 1000.0,
         drain_s=_number(fields, "bounds.drain-timeout-ms") / 1000.0,
@@ -112,7 +112,7 @@
         config_apply_s=_number(fields, "bounds.config-apply-ms") / 1000.0,
         result_retention_s=_number(fields, "bounds.status-retention-s"),
         max_object_bytes=int(_number(fields, "platform.max-value-bytes")),
-        cpu_cores=_number(fields, "limits.cpu-share") * _speed(fields),
+        cpu_cores=_number(fields, "limits.cpu-share") * _core_speed(fields),
         link_mbps=_number(fields, "limits.link-mbps"),
         memory_mb=int(_number(fields, "limits.memory-mb")),
         lease_s=_lease_s(fields),
@@ -127,9 +127,9 @@
     return value
 
 
-def _whole(name: str, text: str) -> int:
+def _integer(name: str, text: str) -> int:
     if not text.isdigit():
-        raise _FieldError(f"{name}: {text!r} is not a whole number")
+        raise _FieldError(f"{name}: {text!r} is not an integer")
     return int(text)
 
 
@@ -141,8 +141,8 @@
         raise _FieldError(f"{name}: {text!r} is not a number") from None
 
 
-def _speed(fields: Mapping[str, str]) -> float:
-    """Return the speed of the machine's core, in times that of a usual one."""
+def _core_speed(fields: Mapping[str, str]) -> float:
+    """Return the speed of the machine's cores, as a multiple of the usual speed."""
     name = "limits.cpu-cores"
     return _number(fields, name) if name in fields else 1.0
 
@@ -157,10 +157,10 @@
     if not text:
         return None
     host, _, port = text.rpartition(":")
-    return Address(host, _whole(name, port))
+    return Address(host, _integer(name, port))
 
 
-def _needed_address(fields: Mapping[str, str], name: str) -> Address:
+def _required_address(fields: Mapping[str, str], name: str) -> Address:
     address = _address(fields, name)
     if address is None:
         raise _FieldError(f"{name}: missing")
--- a/pistachioglade/platform/tests/__init__.py
+++ b/pistachioglade/platform/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the platform adapter."""
--- a/pistachioglade/platform/tests/test_adapter.py
+++ b/pistachioglade/platform/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter's decoders: what the platform writes, and what it must not write."""
+"""The adapter's decoders, with valid and with invalid data."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
     return load_settings(path)
 
 
-def test_settings(tmp_path: Path) -> None:
+def test_valid_settings_are_decoded(tmp_path: Path) -> None:
     settings = _load(tmp_path, _SETTINGS)
     assert isinstance(settings, ProcessSettings)
     assert str(settings.callers) == "10.1.0.35:8144"
@@ -77,14 +77,16 @@
         ("limits.cpu-share", "half"),
     ],
 )
-def test_a_wrong_setting_is_named(name: str, value: str, tmp_path: Path) -> None:
+def test_a_wrong_setting_is_refused_with_its_name(
+    name: str, value: str, tmp_path: Path
+) -> None:
     refusal = _load(tmp_path, _SETTINGS | {name: value})
     assert isinstance(refusal, Refusal)
     assert name in refusal.reason
     assert "settings.conf" in refusal.reason
 
 
-def test_a_settings_file_that_is_not_there(tmp_path: Path) -> None:
+def test_a_missing_settings_file_is_refused(tmp_path: Path) -> None:
     assert isinstance(load_settings(tmp_path / "none"), Refusal)
 
 
@@ -101,7 +103,7 @@
     } | fields
 
 
-def test_a_configuration() -> None:
+def test_a_valid_configuration_is_decoded_and_routes_requests() -> None:
     split = [{"service": "x", "weight": 90}, {"service": "y", "weight": 10}]
     read = decode_configuration(
         {
@@ -144,17 +146,17 @@
         {"version": 1, "routes": 7},
     ],
 )
-def test_a_configuration_that_can_not_be_read(fields: dict[str, Any]) -> None:
+def test_an_unreadable_configuration_is_refused(fields: dict[str, Any]) -> None:
     assert isinstance(decode_configuration(fields), Refusal)
 
 
 @pytest.mark.parametrize("fields", [{}, {"service": "a", "address": 7}, {"service": 1}])
-def test_an_instance_that_can_not_be_read(fields: dict[str, Any]) -> None:
+def test_an_unreadable_instance_or_version_is_refused(fields: dict[str, Any]) -> None:
     assert isinstance(decode_instance("i-1", fields), Refusal)
     assert isinstance(decode_version(fields), Refusal)
 
 
-def test_an_instance() -> None:
+def test_a_valid_instance_is_decoded() -> None:
     models = [{"name": "m", "version": 4, "adapters": []}]
     fields = instance_entry("lm", "10.0.0.1:80", state="draining", models=models)
     read = decode_instance("i-1", fields)
@@ -166,26 +168,26 @@
 @pytest.mark.parametrize(
     "body", [b"", b"[]", b"3", b"{", b"\xff", b'"text"', b"{}", b'{"items": [1]}']
 )
-def test_a_submission_that_can_not_be_read(body: bytes) -> None:
+def test_an_unreadable_submission_is_refused(body: bytes) -> None:
     fields = parse_submission(body)
     if not isinstance(fields, Refusal):
         assert isinstance(decode_job("j", "h", "/", fields), Refusal)
 
 
-def test_a_body_that_is_not_base64() -> None:
+def test_an_item_body_that_is_not_base64_is_refused() -> None:
     item = {"id": "i", "path": "/", "body": "%%%"}
     assert isinstance(decode_job("j", "h", "/", {"items": [item]}), Refusal)
 
 
-def test_results_survive_their_encoding() -> None:
+def test_encoded_results_are_decoded_unchanged() -> None:
     fields = {"id": "i", "state": "completed", "output-text": "a\nb"}
-    whole = decode_result(fields | {"weight-versions": [6, 7], "score": "s"})
-    assert decode_result(encode_result(whole)) == whole
-    page = json.loads(encode_results_page(5, 2, [json.dumps(encode_result(whole))]))
+    result = decode_result(fields | {"weight-versions": [6, 7], "score": "s"})
+    assert decode_result(encode_result(result)) == result
+    page = json.loads(encode_results_page(5, 2, [json.dumps(encode_result(result))]))
     assert (page["total"], page["next"], len(page["results"])) == (5, 3, 1)
 
 
-def test_fields_of_a_forwarded_request() -> None:
+def test_a_forwarded_request_keeps_foreign_fields_and_replaces_its_own() -> None:
     sent = request_fields(
         ((names.DEADLINE_MS, "900"), ("X-Other", "kept"), (names.ATTEMPT_ID, "a")),
         "i-1",
@@ -199,7 +201,7 @@
     }
 
 
-def test_what_an_answer_says_of_its_request() -> None:
+def test_answer_fields_show_execution_request_id_and_load() -> None:
     head = ResponseHead(503, ((names.NOT_EXECUTED, "1"), (names.ATTEMPT_ID, "a")))
     assert did_not_run(head)
     assert belongs_to(head, "a")
@@ -214,7 +216,7 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"{}", b'{"models": 1}', b"[]"])
-def test_an_engine_report_that_can_not_be_read(body: bytes) -> None:
+def test_an_unreadable_engine_report_is_refused(body: bytes) -> None:
     assert isinstance(decode_engine_state(Response(200, (), body)), Refusal)
 
 
@@ -231,7 +233,7 @@
         (500, False, ErrorKind.PLATFORM_UNAVAILABLE),
     ],
 )
-def test_the_stores_answers(
+def test_each_store_status_maps_to_its_error_kind(
     status: int, is_write: bool, kind: ErrorKind | None
 ) -> None:
     refusal = refusal_of(Response(status), is_write)
--- a/pistachioglade/platform/tests/test_foreign_entries.py
+++ b/pistachioglade/platform/tests/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""What another writer leaves in the store: each kind is read, or refused with why."""
+"""Objects of other writers are decoded, or refused with a short reason."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     decode_version,
 )
 
-#: Longest line that a refusal's reason may be, whatever an object holds.
+#: Upper bound of a refusal's reason, in characters, whatever the object contains.
 _REASON_CHARS = 300
 _HUGE = "x" * 1_000_000
 
@@ -65,14 +65,14 @@
 
 
 @pytest.mark.parametrize("what", _FOREIGN_INSTANCES)
-def test_a_foreign_entry_names_no_instance(what: str) -> None:
+def test_an_invalid_instance_entry_is_refused_with_a_short_reason(what: str) -> None:
     read = decode_instance("i-1", _FOREIGN_INSTANCES[what])
     assert isinstance(read, Refusal)
     assert read.kind is ErrorKind.UNREADABLE
     assert len(read.reason) < _REASON_CHARS
 
 
-def test_a_sound_entry_names_one() -> None:
+def test_a_valid_instance_entry_is_decoded() -> None:
     assert not isinstance(decode_instance("i-1", instance_entry("app")), Refusal)
 
 
@@ -113,7 +113,7 @@
 
 
 @given(_JSON)
-def test_no_value_of_any_kind_raises(value: Any) -> None:
+def test_no_value_raises_in_the_decoders_of_values(value: Any) -> None:
     for read in (
         decode_instance("i-1", value),
         decode_version(value),
@@ -123,20 +123,20 @@
 
 
 @given(_JSON)
-def test_no_object_raises(fields: Any) -> None:
+def test_no_object_raises_in_the_decoder_of_entries(fields: Any) -> None:
     decode_entry(fields)
     decode_entry({"metadata": fields, "specification": fields})
 
 
 @given(st.binary(max_size=60) | _JSON.map(lambda value: json.dumps(value).encode()))
-def test_no_body_raises(body: bytes) -> None:
+def test_no_body_raises_in_the_decoders_of_answers(body: bytes) -> None:
     for decode in (decode_page, decode_changes):
         read = decode(body)
         assert not isinstance(read, Refusal) or len(read.reason) < _REASON_CHARS
 
 
-def test_large_numbers_of_values_are_kept() -> None:
-    """Read as infinite, an owner's nonce of 19 digits made its lease nobody's."""
+def test_large_integers_in_values_are_kept() -> None:
+    """Decoded as infinite, an owner's nonce of 19 digits matches no lease holder."""
     value = {"nonce": 2**64 - 1, "large": 10**200}
     body = {"metadata": {"name": "a", "revision": 1}, "specification": value}
     page = decode_page(json.dumps({"items": [body], "at": 1}).encode())
@@ -144,7 +144,7 @@
     assert page.entries[0].value == value
 
 
-_SOUND = b'{"metadata": {"name": "b", "revision": 7}, "specification": 1}'
+_VALID = b'{"metadata": {"name": "b", "revision": 7}, "specification": 1}'
 
 
 @pytest.mark.parametrize(
@@ -161,16 +161,18 @@
         (b'{"metadata": {"name": "a", "revision": ' + b"9" * 5000 + b"}}", 0),
     ],
 )
-def test_an_object_spoils_only_itself(item: bytes, nameless: int) -> None:
+def test_an_unreadable_object_leaves_the_others_readable(
+    item: bytes, nameless: int
+) -> None:
     page = decode_page(
-        b'{"items": [%b, %b], "has-more": false, "at": 9}' % (item, _SOUND)
+        b'{"items": [%b, %b], "has-more": false, "at": 9}' % (item, _VALID)
     )
     assert not isinstance(page, Refusal)
     assert page.entries[-1] == Entry("b", 7, 1, None)
     assert (len(page.entries), page.nameless) == (2 - nameless, nameless)
     assert all(entry.revision <= 9 for entry in page.entries)
     event = b'{"object": %b, "deleted": false}'
-    body = b'{"events": [%b, %b], "at": 9}' % (event % item, event % _SOUND)
-    told = decode_changes(body)
-    assert not isinstance(told, Refusal)
-    assert (len(told.changes), told.nameless) == (2 - nameless, nameless)
+    body = b'{"events": [%b, %b], "at": 9}' % (event % item, event % _VALID)
+    watched = decode_changes(body)
+    assert not isinstance(watched, Refusal)
+    assert (len(watched.changes), watched.nameless) == (2 - nameless, nameless)
