--- a/pistachioglade/links/_client.py
+++ b/pistachioglade/links/_client.py
@@ -1,4 +1,4 @@
-"""The calling end of links: one connection for each peer, opened when needed."""
+"""The client side of links: one connection per peer, opened on demand."""
 
 from __future__ import annotations
 
@@ -17,35 +17,35 @@
 
 _log = logger(__name__)
 
-#: Time that opening a link may take.
+#: Timeout for opening a link.
 OPEN_TIMEOUT_S: Final = 2.0
-#: Time between keep-alive pings, which find half-open connections.
+#: Interval of keep-alive pings, which detect half-open connections.
 PING_INTERVAL_S: Final = 3.0
-#: Time that a ping may stay without an answer.
+#: Time within which a ping has to be answered.
 PING_TIMEOUT_S: Final = 3.0
 
 
 class Link:
-    """One open connection to a peer; answers are matched by correlation id."""
+    """One connection to a peer; matches answers to calls by their correlation id."""
 
     def __init__(self, connection: ClientConnection, traffic: Traffic) -> None:
         self._traffic = traffic
         self._connection = connection
         self._ids = count(1)
-        self._waiting: dict[int, asyncio.Future[Any]] = {}
+        self._pending: dict[int, asyncio.Future[Any]] = {}
         self._reader = asyncio.create_task(self._read())
         self.is_open = True
 
     async def call(self, message: Any, timeout_s: float) -> Any:
-        """Send a message and return its answer, or a :class:`Refusal`."""
+        """Send a message and return the answer, or a :class:`Refusal`."""
         if not self.is_open:
             return refuse(ErrorKind.LINK_NOT_OPEN, "the link is closed")
-        number = next(self._ids)
-        frame = encode_frame(number, message)
+        correlation_id = next(self._ids)
+        frame = encode_frame(correlation_id, message)
         if len(frame) > MAX_FRAME_BYTES:
             return refuse(ErrorKind.TOO_LARGE, f"frame of {len(frame)} bytes")
         future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        self._waiting[number] = future
+        self._pending[correlation_id] = future
         try:
             async with asyncio.timeout(timeout_s):
                 self._traffic.count(frame)
@@ -57,31 +57,31 @@
         except ConnectionClosed as error:
             return refuse(ErrorKind.LINK_LOST, f"link lost: {error}")
         finally:
-            self._waiting.pop(number, None)
+            self._pending.pop(correlation_id, None)
 
     async def _read(self) -> None:
         try:
             async for frame in self._connection:
-                self._accept(frame)
+                self._resolve(frame)
         except ConnectionClosed:
             pass
         finally:
-            self._fail_waiting()
+            self._fail_pending()
 
-    def _accept(self, frame: str | bytes) -> None:
+    def _resolve(self, frame: str | bytes) -> None:
         data = frame if isinstance(frame, bytes) else frame.encode()
         self._traffic.count(data)
         envelope = decode_frame(data)
         if isinstance(envelope, Refusal):
             _log.warning("link.bad_frame", reason=envelope.reason)
             return
-        future = self._waiting.get(envelope.correlation_id)
+        future = self._pending.get(envelope.correlation_id)
         if future is not None and not future.done():
             future.set_result(envelope.message)
 
-    def _fail_waiting(self) -> None:
+    def _fail_pending(self) -> None:
         self.is_open = False
-        for future in self._waiting.values():
+        for future in self._pending.values():
             if not future.done():
                 future.set_result(refuse(ErrorKind.LINK_LOST, "the link was lost"))
 
@@ -92,7 +92,7 @@
 
 
 class LinkPool:
-    """Links by address."""
+    """Opens links by address and keeps them for later calls."""
 
     def __init__(self, identity: Identity) -> None:
         self._identity = identity
@@ -135,7 +135,7 @@
                 proxy=None,
             )
         except ConnectionRefusedError as error:
-            # The machine answers, and no process listens there.
+            # The machine is up, but no process listens on that port.
             return refuse(ErrorKind.LINK_REFUSED, f"no link to {address}: {error}")
         except (OSError, TimeoutError, WebSocketException) as error:
             reason = f"no link to {address}: {type(error).__name__}: {error}"
@@ -143,14 +143,14 @@
         return Link(connection, self.traffic)
 
     async def forget(self, address: str) -> None:
-        """Close the link to an address that is no longer needed."""
+        """Close the link to an address that is not needed any more."""
         link = self._links.pop(address, None)
         self._locks.pop(address, None)
         if link is not None:
             await link.close()
 
     def addresses(self) -> tuple[str, ...]:
-        """Return the addresses with a link."""
+        """Return the addresses that have a link."""
         return tuple(self._links)
 
     async def close(self) -> None:
--- a/pistachioglade/links/_identity.py
+++ b/pistachioglade/links/_identity.py
@@ -1,4 +1,4 @@
-"""How the system's own processes prove themselves to each other."""
+"""Authentication between the system's own processes."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
     # Node id.
     node: str
-    # Shared secret, from a file.
+    # Shared secret, read from a file.
     secret: str = attrs.field(repr=False)
 
     def _proof(self, node: str) -> str:
@@ -31,7 +31,7 @@
         return f"Bearer {code.hexdigest()}"
 
     def headers(self) -> dict[str, str]:
-        """Return the headers with which a link is opened."""
+        """Return the headers of the request that opens a link."""
         return {
             _NODE_HEADER: self.node,
             _VERSION_HEADER: str(PROTOCOL_VERSION),
@@ -39,7 +39,7 @@
         }
 
     def verify(self, headers: Mapping[str, str]) -> str | Refusal:
-        """Return the node id of the peer that sent ``headers``."""
+        """Return the node id of the peer that sent ``headers``, or a refusal."""
         node = headers.get(_NODE_HEADER, "")
         proof = headers.get(_AUTH_HEADER, "")
         if not hmac.compare_digest(proof.encode(), self._proof(node).encode()):
--- a/pistachioglade/links/_server.py
+++ b/pistachioglade/links/_server.py
@@ -1,4 +1,4 @@
-"""The answering end of links."""
+"""The server side of links."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 
 _log = logger(__name__)
 
-#: Requests of one link that are handled at the same time.
+#: Number of requests of one link that are handled concurrently.
 MAX_CONCURRENT: Final = 20_000
 
 
 @attrs.frozen
 class Peer:
-    """Who is at the other end of a link."""
+    """The node at the other end of a link."""
 
-    # Node id, proved when the link was opened.
+    # Node id, authenticated when the link was opened.
     node: str
 
 
@@ -38,7 +38,7 @@
 
 
 class LinkServer:
-    """Listens for links and hands their messages to one handler."""
+    """Listens for links and passes their messages to one handler."""
 
     def __init__(
         self, identity: Identity, handler: LinkHandler, traffic: Traffic | None = None
@@ -50,7 +50,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self, address: str) -> None:
-        """Listen at ``address``, a host and a port."""
+        """Listen at ``address``, in the form ``host:port``."""
         host, _, port = address.rpartition(":")
         self._server = await serve(
             self._serve_link,
@@ -98,11 +98,11 @@
         if isinstance(envelope, Refusal):
             _log.warning("link.bad_frame", peer=peer.node, reason=envelope.reason)
             answer: Any = envelope
-            number = 0
+            correlation_id = 0
         else:
-            number = envelope.correlation_id
+            correlation_id = envelope.correlation_id
             answer = await self._handle(envelope.message, peer)
-        reply = encode_frame(number, answer)
+        reply = encode_frame(correlation_id, answer)
         self._traffic.count(reply)
         try:
             await connection.send(reply)
@@ -112,12 +112,12 @@
     async def _handle(self, message: Any, peer: Peer) -> Any:
         try:
             return await self._handler(message, peer)
-        except Exception as error:  # a fault of one request must not end the link
+        except Exception as error:  # a fault in one request must not end the link
             _log.exception("link.handler_failed", kind=type(message).__name__)
             return refuse(ErrorKind.INTERNAL, f"{type(error).__name__}: {error}")
 
     async def drain(self, timeout_s: float) -> None:
-        """Wait for the requests that are being handled."""
+        """Wait up to ``timeout_s`` for the requests in flight."""
         if self._tasks:
             await asyncio.wait(tuple(self._tasks), timeout=timeout_s)
 
--- a/pistachioglade/links/_traffic.py
+++ b/pistachioglade/links/_traffic.py
@@ -1,4 +1,4 @@
-"""How much a node's links carry, for docs/CAPACITY.md."""
+"""Counters of the traffic on a node's links, for docs/CAPACITY.md."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 @attrs.define
 class Traffic:
-    """Frames and their bytes, both directions and both ends added up."""
+    """Frames and their bytes over all links, in both directions."""
 
-    # Frames sent and received.
+    # Number of frames sent and received.
     frames: int = 0
-    # Bytes of those frames, without headers of websocket, TCP and IP.
+    # Size of those frames in bytes, without websocket, TCP and IP headers.
     frame_bytes: int = 0
 
     def count(self, frame: bytes) -> None:
