--- a/pistachioglade/messages/_calls.py
+++ b/pistachioglade/messages/_calls.py
@@ -1,4 +1,4 @@
-"""Messages of calls: lookups and other requests with one answer."""
+"""Messages for calls: lookups and other requests with a single answer."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 @attrs.frozen
 class Ticket:
-    """A numbered run of keys that one agent incarnation alone may execute."""
+    """A range of idempotency keys that only one incarnation of an agent may execute."""
 
-    # Node id of the agent that is bound to the keys.
+    # Node id of the agent to which the keys are bound.
     agent: str
     # Boot nonce of that agent.
     incarnation: int
-    # Number of the ticket within the incarnation.
+    # Serial number of the ticket within the incarnation.
     number: int
-    # How many keys the ticket has, counted from 0.
+    # Number of keys; their indices count from 0.
     count: int
 
 
@@ -25,33 +25,33 @@
 
     # Name of the caller, as the configuration declares it.
     caller: str
-    # Upstream that the keys are for.
+    # Name of the upstream for whose requests the keys are.
     upstream: str
-    # How many keys are asked for.
+    # Number of requested keys.
     count: int
 
 
 @attrs.frozen
 class RunCall:
-    """Run one request at an upstream and return the whole answer."""
+    """Run one request at an upstream and return the complete answer."""
 
     # Unique id of the request at the entry.
     request_id: str
     # Name of the caller, as the configuration declares it.
     caller: str
-    # Upstream to run it at.
+    # Name of the upstream that runs the request.
     upstream: str
     # Operation of the upstream; "completion" for model engines.
     operation: str
-    # JSON body, unread.
+    # JSON body, passed on without being parsed.
     payload: bytes
-    # Whether running it twice is harmless.
+    # Whether the operation is idempotent.
     idempotent: bool
-    # Time left until the caller gives up, when the frame was sent.
+    # Time until the caller's deadline when the frame was sent, in seconds.
     budget_s: float
-    # Ticket that binds the request; None for a request without a key.
+    # Ticket that contains the request's key; None for a request without a key.
     ticket: Ticket | None = None
-    # Place of the request's key within the ticket.
+    # Index of the request's key within the ticket.
     key_index: int = 0
     # W3C trace context.
     traceparent: str = ""
@@ -59,19 +59,19 @@
 
 @attrs.frozen
 class CallAnswer:
-    """The whole answer of an upstream to one :class:`RunCall`."""
+    """The complete answer of an upstream to one :class:`RunCall`."""
 
-    # Id of the request that this answers.
+    # Id of the answered request.
     request_id: str
     # HTTP status code that the upstream gave.
     status: int
-    # JSON body, whole.
+    # Complete JSON body.
     body: bytes
-    # Node id of the agent that ran it.
+    # Node id of the agent that ran the request.
     agent: str
-    # Time that the request waited at the agent before its first byte went out.
+    # Time in the agent's queue before the first byte was sent, in seconds.
     queued_s: float
-    # Time that the upstream took.
+    # Time that the upstream took, in seconds.
     upstream_s: float
-    # Whether the answer was kept from an earlier try of the same key.
+    # Whether this is the stored answer to an earlier attempt with the same key.
     replayed: bool = False
--- a/pistachioglade/messages/_codec.py
+++ b/pistachioglade/messages/_codec.py
@@ -1,4 +1,4 @@
-"""CBOR frames: the only place where messages become bytes.
+"""The only module that converts messages to bytes and back, as CBOR frames.
 
 A frame is a CBOR array of the protocol version, a correlation id, the name of
 the message type and the message's fields.
@@ -16,7 +16,7 @@
 from . import _calls, _control, _entries, _samples
 
 PROTOCOL_VERSION: Final = 1
-#: Largest frame that a link takes; leaves room for a step of 8,192 prompts.
+#: Largest frame that a link accepts, in bytes; enough for a step of 8,192 prompts.
 MAX_FRAME_BYTES: Final = 8 * 1024 * 1024
 
 T = TypeVar("T")
@@ -42,12 +42,12 @@
 
 
 def structure(data: Any, cls: type[T]) -> T:
-    """Build ``cls`` from bare data; raises if the data does not fit."""
+    """Build an object of ``cls`` from plain data; raise if the data does not fit."""
     return _converter.structure(data, cls)
 
 
 def unstructure(message: Any) -> Any:
-    """Return ``message`` as bare data."""
+    """Return ``message`` as plain data."""
     return _converter.unstructure(message)
 
 
@@ -59,12 +59,12 @@
 
 
 def decode_frame(frame: bytes) -> Envelope | Refusal:
-    """Return the frame's message, or why it has none."""
+    """Return the message of a frame, or a refusal if the frame is invalid."""
     if len(frame) > MAX_FRAME_BYTES:
         return refuse(ErrorKind.TOO_LARGE, f"frame of {len(frame)} bytes")
     try:
         fields = cbor2.loads(frame)
-    except Exception as error:  # cbor2 lets errors of any type through
+    except Exception as error:  # cbor2 may raise errors of any type
         return refuse(ErrorKind.BAD_REQUEST, f"frame is not CBOR: {error!r:.200}")
     if not isinstance(fields, list) or len(fields) != 4:
         return refuse(ErrorKind.BAD_REQUEST, "frame is not an array of four fields")
--- a/pistachioglade/messages/_control.py
+++ b/pistachioglade/messages/_control.py
@@ -1,4 +1,4 @@
-"""Messages of configuration, membership, weights and operation."""
+"""Messages for configuration, membership, weights and administration."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 import attrs
 
-#: The first version that a trainer may publish; an engine that names a lower one
-#: has no published weights yet.
+#: Lowest version that a trainer may publish; an engine that reports a lower version has
+#: no published weights yet.
 FIRST_VERSION: Final = 1
 
 
 class NodeRole(Enum):
-    """What a node does."""
+    """The role of a node."""
 
     ENTRY = "entry"
     AGENT = "agent"
 
 
 class MemberState(Enum):
-    """A member's state; a later one wins over an earlier one of the same number."""
+    """A member's state; of two with the same sequence, the one listed later wins."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -30,23 +30,23 @@
 
 @attrs.frozen
 class MemberRecord:
-    """What is known of one node."""
+    """A statement on the state of one node."""
 
     # Node id, from its settings.
     node: str
-    # Boot nonce; grows from one start to the next.
+    # Boot nonce, which increases with each start of the node.
     incarnation: int
-    # Grows with every statement about the incarnation.
+    # Sequence number, which increases with each statement on the incarnation.
     sequence: int
-    # The state that the statement gives.
+    # State of the node.
     state: MemberState
-    # What the node does.
+    # Role of the node.
     role: NodeRole
-    # Host and port of its link server; empty for none.
+    # Host and port of the node's link server; empty if there is none.
     address: str
     # Failure domain of the node.
     domain: str
-    # Upstream whose instances the node fronts; empty for an entry.
+    # Name of the upstream whose instances the node serves; empty for an entry.
     upstream: str = ""
 
 
@@ -58,39 +58,39 @@
     version: int
     # SHA-256 of the weights, in hexadecimal.
     digest: str
-    # Size of the weights.
+    # Size of the weights, in bytes.
     size_bytes: int
-    # Wall clock time of the publication.
+    # Time of the publication, in seconds since the epoch.
     published_unix_s: float
 
 
 @attrs.frozen
 class RootState:
-    """The root object: everything that is in force, under one generation."""
+    """The root object: the current configuration and weights, under one generation."""
 
-    # Grows by one with every accepted change.
+    # Generation, which increases by one with each accepted change.
     generation: int
-    # Part name to SHA-256 of the part.
+    # Part name to the SHA-256 of the part.
     parts: dict[str, str] = attrs.field(factory=dict)
     # Model name to its newest weights.
     models: dict[str, ModelVersion] = attrs.field(factory=dict)
-    # Last writes, newest first, as "writer:sequence:generation".
+    # Latest writes, newest first, in the form "writer:sequence:generation".
     recent_writes: tuple[str, ...] = ()
 
 
 @attrs.frozen
 class RootSnapshot:
-    """A root together with the parts that it names."""
+    """A root and the parts that the root refers to."""
 
     # The root.
     root: RootState
-    # SHA-256 to the part's text.
+    # SHA-256 of each part to the part's text.
     parts: dict[str, str]
 
 
 @attrs.frozen
 class RootOffer:
-    """Tell a peer which generation the sender has."""
+    """Announce the generation of the sender's root to a peer."""
 
     # Generation of the sender's root.
     generation: int
@@ -98,15 +98,15 @@
 
 @attrs.frozen
 class FetchRoot:
-    """Ask a peer for its root and for the parts that the asker lacks."""
+    """Ask a peer for its root and for the parts that the sender lacks."""
 
-    # Digests of the parts that the asker has.
+    # SHA-256 of each part that the sender has.
     known_parts: tuple[str, ...]
 
 
 @attrs.frozen
 class MemberChanges:
-    """Statements about members, passed on to the peers of the receiver."""
+    """Statements on members; the receiver passes them on to its peers."""
 
     # The statements.
     records: tuple[MemberRecord, ...]
@@ -114,21 +114,21 @@
 
 @attrs.frozen
 class Digest:
-    """Compare knowledge with a peer, from time to time."""
+    """Periodic comparison of the root and of the member records with a peer."""
 
     # Generation of the sender's root.
     generation: int
-    # One hash for each bucket of members.
+    # One hash per bucket of members.
     buckets: tuple[int, ...]
 
 
 @attrs.frozen
 class DigestReply:
-    """What differs, from the receiver of a :class:`Digest`."""
+    """The answer to a :class:`Digest`: the differences and the receiver's records."""
 
     # Generation of the receiver's root.
     generation: int
-    # Buckets that differ.
+    # Numbers of the buckets whose hashes differ.
     buckets: tuple[int, ...]
     # The receiver's records in those buckets.
     records: tuple[MemberRecord, ...]
@@ -136,7 +136,7 @@
 
 @attrs.frozen
 class BucketRecords:
-    """The sender's records of the buckets that differed."""
+    """The records that the sender of a :class:`Digest` has in the differing buckets."""
 
     # The records.
     records: tuple[MemberRecord, ...]
@@ -144,31 +144,31 @@
 
 @attrs.frozen
 class FetchChunk:
-    """Ask a peer for a piece of a model's weights."""
+    """Ask a peer for a chunk of a model's weights."""
 
     # Name of the model.
     model: str
     # Version of the weights.
     version: int
-    # Number of the chunk, from 0.
+    # Index of the chunk, counted from 0.
     chunk: int
-    # How long the peer may wait for the chunk to reach it.
+    # Time for which the peer may wait for a chunk that it lacks, in seconds.
     wait_s: float
 
 
 @attrs.frozen
 class ChunkData:
-    """A piece of a model's weights."""
+    """A chunk of a model's weights."""
 
-    # The bytes.
+    # Content of the chunk.
     data: bytes
 
 
 @attrs.frozen
 class DrainNode:
-    """Tell a node to leave: no new work, finish what runs."""
+    """Tell a node to leave: accept no new work and finish the work in progress."""
 
-    # Who asks.
+    # Name of the operator who asks.
     operator: str
 
 
@@ -190,19 +190,19 @@
     node: str
     # Boot nonce.
     incarnation: int
-    # Generation that is in force here.
+    # Generation of the root that the node applies.
     generation: int
     # Whether the node is leaving.
     leaving: bool
-    # Engine or instance name to model to version, as the engine says.
+    # Engine or instance name to model to weight version, as the engine reports.
     versions: dict[str, dict[str, int]]
-    # Requests and samples in progress.
+    # Number of requests and samples in progress.
     running: int
-    # Requests and samples that wait.
+    # Number of queued requests and samples.
     queued: int
-    # Trainers whose steps this node owns.
+    # Names of the trainers whose steps the node owns.
     owned_trainers: tuple[str, ...] = ()
-    # Frames that its links carried, both ways.
+    # Number of frames on the node's links, in both directions.
     link_frames: int = 0
-    # Bytes of those frames.
+    # Size of those frames, in bytes.
     link_bytes: int = 0
--- a/pistachioglade/messages/_entries.py
+++ b/pistachioglade/messages/_entries.py
@@ -1,4 +1,4 @@
-"""Messages between entries: results, probes, texts on the move, relayed store calls."""
+"""Messages between entries: probes, results, sample texts, relayed store calls."""
 
 from __future__ import annotations
 
@@ -9,41 +9,41 @@
 
 @attrs.frozen
 class Probe:
-    """Ask an entry whether it lives and works."""
+    """Ask an entry whether its process is alive."""
 
 
 @attrs.frozen
 class ProbeAnswer:
-    """An entry's word on itself."""
+    """The state that an entry reports."""
 
-    # Nonce of the process.
+    # Boot nonce of the process.
     boot: str
-    # Seconds since the store last answered it by any way; None if it never did.
+    # Seconds since the store last answered the entry by any route; None if never.
     store_age_s: float | None
-    # Whether the store answered its own last call, so that it can make others'.
+    # Whether the entry reaches the store directly and so can relay calls.
     reaches_store: bool
 
 
 @attrs.frozen
 class AskHome:
-    """Ask an entry whether it can run a job now."""
+    """Ask an entry whether it can become the owner of a job now."""
 
 
 @attrs.frozen
 class HomeAnswer:
-    """Whether it can: it stays, and a moment ago it had a way to the store."""
+    """Whether an entry stays and recently had a route to the store."""
 
-    # Whether it takes the job.
+    # Whether the entry accepts jobs.
     takes_jobs: bool
 
 
 @attrs.frozen
 class VersionNamed:
-    """Tell the process beside an engine of a version that a trainer has named."""
+    """Announce a version that a trainer has named to the process at an engine."""
 
-    # Model.
+    # Name of the model.
     model: str
-    # Version.
+    # Weight version.
     version: int
 
 
@@ -53,41 +53,44 @@
 
     # Digest of the request.
     request_digest: str
-    # Instances that ended while running it.
+    # Ids of the instances that ended while they ran the request.
     instances: tuple[str, ...]
 
 
 @attrs.frozen
 class EngineUnattended:
-    """Tell an entry of a named version whose engine has no live process beside it."""
+    """Announce a named version to an entry, for an engine without a live process.
+
+    The entry then orders the version in place of the process at the engine.
+    """
 
     # Id of the engine.
     instance_id: str
-    # Model.
+    # Name of the model.
     model: str
-    # Version.
+    # Weight version.
     version: int
 
 
 @attrs.frozen
 class SamplesRunning:
-    """Tell another owner of jobs how many samples each engine has from here."""
+    """Report the sender's running samples per engine to another owner of jobs."""
 
-    # Name of the teller as an owner.
+    # Name of the sender as an owner of jobs.
     owner: str
-    # Samples by the id of their engine.
+    # Engine id to number of samples.
     by_engine: dict[str, int]
 
 
 @attrs.frozen
 class FetchChanges:
-    """Ask an entry that watches a kind for what has changed behind a revision."""
+    """Ask an entry that watches a kind for the changes after a revision."""
 
     # Kind of objects.
     kind: str
-    # Revision that the asker has.
+    # Revision that the sender has.
     revision: int
-    # Time for which the answer may be held until there is a change.
+    # Time for which the answer may be held until there is a change, in seconds.
     hold_s: float
 
 
@@ -97,35 +100,35 @@
 
     # Name of the object.
     name: str
-    # Its revision.
+    # Revision of the object.
     revision: int
-    # Its value.
+    # Value of the object.
     value: Any
-    # Its status.
+    # Status of the object; None if it has none.
     status: Any
-    # Whether it was removed.
+    # Whether the object was removed.
     is_removed: bool
 
 
 @attrs.frozen
 class ChangePage:
-    """All changes behind a revision, in their order."""
+    """All changes after a revision, in order."""
 
     # The changes.
     changes: tuple[ChangeRecord, ...]
-    # Revision of the store behind them.
+    # Revision of the store after these changes.
     revision: int
 
 
 @attrs.frozen
 class StoredRecord:
-    """Tell the node that runs a job of an object that the store has taken."""
+    """Send a stored object to the node that runs the job of the object."""
 
     # Name of the object.
     name: str
-    # Its revision.
+    # Revision of the object.
     revision: int
-    # Its value.
+    # Value of the object.
     value: Any
 
 
@@ -133,91 +136,91 @@
 class FetchResults:
     """Ask the node that runs a job for results."""
 
-    # Job.
+    # Id of the job.
     job_id: str
-    # Position of the first result that is wanted.
+    # Position of the first requested result.
     after: int
-    # Time for which the answer may be held until there is one.
+    # Time for which the answer may be held until there is a result, in seconds.
     wait_s: float
 
 
 @attrs.frozen
 class ResultPage:
-    """Results from the position that was asked for on."""
+    """Results from the requested position on."""
 
-    # Results, each encoded as readers get it.
+    # Results, each in the encoding that readers get.
     results: tuple[str, ...]
-    # Whether there are no others yet: the node runs the job, or has all of them.
+    # Whether no other results exist yet: the node runs the job or has all results.
     is_sure: bool
 
 
 @attrs.frozen
 class BatchRecord:
-    """A batch of results as the store has it."""
+    """A batch of results in the form that the store holds."""
 
-    # Who wrote it.
+    # Writer of the batch.
     writer: str
-    # Position of its first result.
+    # Position of the first result.
     start: int
-    # Results, each encoded as readers get it.
+    # Results, each in the encoding that readers get.
     results: tuple[str, ...]
-    # Items that they belong to, in the same order.
+    # Ids of the items of these results, in the same order.
     item_ids: tuple[str, ...]
 
 
 @attrs.frozen
 class FetchSent:
-    """Ask the node that runs a job for what its trainer sent."""
+    """Ask the node that runs a job for the trainer's submission."""
 
-    # Job.
+    # Id of the job.
     job_id: str
 
 
 @attrs.frozen
 class SentFields:
-    """What a trainer sent."""
+    """The submission of a trainer."""
 
-    # JSON text of it; empty if the node doesn't have it.
+    # JSON text; empty if the node doesn't have the submission.
     text: str
 
 
 @attrs.frozen
 class FetchTexts:
-    """Ask the node that ran a job for what it has made of its samples."""
+    """Ask the node that ran a job for the generated texts of its samples."""
 
-    # Job.
+    # Id of the job.
     job_id: str
 
 
 @attrs.frozen
 class TextRecord:
-    """What has been made of a sample."""
+    """The text of a sample, generated so far."""
 
-    # Item that it belongs to.
+    # Id of the sample's item.
     item_id: str
-    # Data of its events in order.
+    # Data of the stream's events, in order.
     parts: tuple[str, ...]
-    # Number of the last event.
+    # Id of the last event.
     last_event: int
-    # Weight versions that made an event of it.
+    # Weight versions that generated at least one of the events.
     versions: tuple[int, ...]
-    # Failed answers that the item got.
+    # Number of failed attempts at the item.
     failures: int
-    # Its score if the text is whole and only has to be listed; None if it isn't.
+    # Score if the text is complete and only has to be listed; None otherwise.
     score: str | None = None
 
 
 @attrs.frozen
 class SampleTexts:
-    """Texts of a job's samples that have no result yet."""
+    """Texts of those samples of a job that have no result yet."""
 
-    # Texts with one event at least.
+    # Texts with at least one event.
     texts: tuple[TextRecord, ...]
 
 
 @attrs.frozen
 class RelayCall:
-    """Ask an entry to make a call to the store for a node that can't reach it."""
+    """Ask an entry to relay a call to the store, which the sender can't reach."""
 
     # HTTP method.
     method: str
@@ -225,7 +228,7 @@
     target: str
     # Body.
     body: bytes
-    # Time that the call may take.
+    # Timeout of the call, in seconds.
     timeout_s: float
 
 
--- a/pistachioglade/messages/_samples.py
+++ b/pistachioglade/messages/_samples.py
@@ -1,4 +1,4 @@
-"""Messages of steps and samples."""
+"""Messages for steps and samples."""
 
 from __future__ import annotations
 
@@ -7,39 +7,39 @@
 
 @attrs.frozen
 class Group:
-    """Samples that share one prompt."""
+    """Samples that share a prompt."""
 
     # Prompt text.
     prompt: str
-    # How many samples to make of it.
+    # Number of samples to generate from the prompt.
     sample_count: int
 
 
 @attrs.frozen
 class VersionSpan:
-    """A run of tokens that one weight version produced."""
+    """Consecutive tokens that one weight version generated."""
 
-    # Weight version that the engine named with the tokens.
+    # Weight version that the engine reported for the tokens.
     version: int
-    # How many tokens.
+    # Number of tokens.
     token_count: int
 
 
 @attrs.frozen
 class Receipt:
-    """What a trainer says of a sample that it took, once."""
+    """A trainer's acknowledgement of one sample, given once."""
 
     # Index of the sample in its step.
     index: int
-    # Which copy was taken.
+    # Id of the copy that the trainer used.
     copy_id: str
-    # Weight versions of that copy.
+    # Weight versions of that copy, in token order.
     spans: tuple[VersionSpan, ...]
-    # Newest version minus oldest version in the sample, when it was taken.
+    # Newest published version minus oldest version in the sample, at the receipt.
     staleness_versions: int
-    # Time from the opening of the step to the taking.
+    # Time from the opening of the step to the receipt, in seconds.
     lateness_s: float
-    # Node id of the agent that made it.
+    # Node id of the agent that generated the sample.
     agent: str
 
 
@@ -51,39 +51,39 @@
     trainer: str
     # Number of the step.
     step: int
-    # Prompts with their counts; a sample's index counts through them in order.
+    # Prompts with their sample counts; sample indices run through the groups in order.
     groups: tuple[Group, ...]
-    # Most tokens in one sample.
+    # Maximum number of tokens in one sample.
     max_tokens: int
     # Newest weight version that the trainer has published.
     newest_version: int
-    # Samples that the trainer has already, when it opens the step again.
+    # Receipts of the samples that the trainer has, when it reopens the step.
     receipts: tuple[Receipt, ...] = ()
-    # Time since the trainer first opened the step.
+    # Time since the trainer first opened the step, in seconds.
     age_s: float = 0.0
-    # Lease holder that the entry could not reach; empty for none.
+    # Node id of the lease holder that the entry could not reach; empty for none.
     unreachable_owner: str = ""
     # W3C trace context.
     traceparent: str = ""
-    # Tells a client from the one that went before it with the same checkpoint.
+    # Id that distinguishes a client from an earlier one with the same checkpoint.
     client_id: str = ""
 
 
 @attrs.frozen
 class StepOpened:
-    """The step is open at this owner."""
+    """The answer to :class:`OpenStep`: the step is open at this owner."""
 
     # Node id of the owner.
     owner: str
-    # Fencing number under which the owner acts.
+    # Fencing token under which the owner acts.
     fence: int
-    # How many samples the step has.
+    # Number of samples of the step.
     sample_count: int
 
 
 @attrs.frozen
 class OwnerIs:
-    """Another node owns the trainer's steps; ask there."""
+    """Redirection to the node that owns the trainer's steps."""
 
     # Node id of the owner.
     owner: str
@@ -95,29 +95,29 @@
 
     # Index of the sample in its step.
     index: int
-    # Unique id of this copy: agent, incarnation and a serial number.
+    # Unique id of this copy, made of agent, incarnation and a serial number.
     copy_id: str
     # Generated text.
     text: str
-    # Versions that produced it, in token order.
+    # Weight versions that generated the text, in token order.
     spans: tuple[VersionSpan, ...]
-    # Node id of the agent that made it.
+    # Node id of the agent that generated the sample.
     agent: str
-    # Engine that made it.
+    # Name of the engine that generated the sample.
     engine: str
-    # Score that the scorer gave; None where no scorer is declared.
+    # Score from the scorer; None if no scorer is declared.
     score: float | None = None
-    # Speed from the first token to the last; 0 where it is not known.
+    # Tokens per second from the first token to the last; 0 if unknown.
     tokens_per_s: float = 0.0
 
     @property
     def oldest_version(self) -> int:
-        """The oldest version that produced a token of this sample."""
+        """The oldest weight version that generated a token of the sample."""
         return min(span.version for span in self.spans)
 
     @property
     def token_count(self) -> int:
-        """How many tokens the sample has."""
+        """The number of tokens of the sample."""
         return sum(span.token_count for span in self.spans)
 
 
@@ -129,53 +129,53 @@
     trainer: str
     # Number of the step.
     step: int
-    # Samples taken since the last answered fetch.
+    # Receipts since the last answered fetch.
     receipts: tuple[Receipt, ...]
-    # Indices that the trainer got but threw away as too stale.
+    # Indices of samples that the trainer rejected as too stale.
     rejected: tuple[int, ...]
     # Newest weight version that the trainer has published.
     newest_version: int
-    # Most samples in the answer.
+    # Maximum number of samples in the answer.
     max_samples: int
-    # How long to wait for the first sample.
+    # Time to wait for the first sample, in seconds.
     wait_s: float
-    # Client that opened the step last.
+    # Id of the client that opened the step last.
     client_id: str = ""
 
 
 @attrs.frozen
 class SampleBatch:
-    """Samples that the trainer lacks, as many as are ready."""
+    """The samples that are ready and that the trainer lacks."""
 
     # Number of the step.
     step: int
     # The samples.
     samples: tuple[Sample, ...]
-    # How many samples of the step are not receipted yet.
+    # Number of samples of the step without a receipt.
     missing_count: int
-    # Whether every receipt that the owner has is in the object API.
+    # Whether all receipts of the owner are stored in the object API.
     is_recorded: bool = False
 
 
 @attrs.frozen
 class AgentLoad:
-    """What an agent says of its engines with every answer."""
+    """The load of an agent's engines, reported with each answer."""
 
-    # Rollout slots over all engines of the agent.
+    # Number of rollout slots over all engines of the agent.
     slots: int
-    # Rollouts that run now.
+    # Number of running rollouts.
     running: int
-    # Rollouts that wait in the agent's queue.
+    # Number of rollouts in the agent's queue.
     queued: int
 
 
 @attrs.frozen
 class Generate:
-    """Make one sample; attaches where the same sample is already being made."""
+    """Generate one sample; attach if the same sample is already being generated."""
 
     # Name of the trainer.
     trainer: str
-    # Model whose weights are to be used.
+    # Name of the model whose weights are to be used.
     model: str
     # Number of the step.
     step: int
@@ -183,13 +183,13 @@
     index: int
     # Prompt text.
     prompt: str
-    # Most tokens.
+    # Maximum number of tokens.
     max_tokens: int
     # Seed of the sampler.
     seed: int
-    # Fencing number of the owner.
+    # Fencing token of the owner.
     fence: int
-    # Oldest version that the sample may start with.
+    # Oldest weight version with which the sample may start.
     min_version: int
     # W3C trace context.
     traceparent: str = ""
@@ -199,23 +199,23 @@
 class Generated:
     """The answer to :class:`Generate`."""
 
-    # The finished sample; None if it was refused.
+    # The finished sample; None if the agent refused the request.
     sample: Sample | None
     # Load of the agent at the time of the answer.
     load: AgentLoad
-    # Tokens lost to calls at the agent since its last answer to anyone.
+    # Tokens lost to preemption by calls since the agent's last answer to any owner.
     preempted_tokens: int = 0
 
 
 @attrs.frozen
 class CancelGenerate:
-    """Stop making a sample that nobody waits for."""
+    """Cancel the generation of a sample that is no longer needed."""
 
     # Name of the trainer.
     trainer: str
     # Number of the step.
     step: int
-    # Index of the sample; -1 for every sample of the step.
+    # Index of the sample; -1 for all samples of the step.
     index: int
-    # Fencing number of the owner.
+    # Fencing token of the owner.
     fence: int
--- a/pistachioglade/messages/tests/test_codec.py
+++ b/pistachioglade/messages/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""The frame decoder takes whatever arrives."""
+"""The frame decoder accepts or refuses any bytes without raising."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 )
 
 
-def test_a_message_comes_back_as_it_was() -> None:
+def test_a_message_survives_encoding_and_decoding() -> None:
     message = Ticket("agent-a", 1 << 62, 3, 4)
     assert decode_frame(encode_frame(9, message)) == Envelope(9, message)
 
@@ -36,7 +36,9 @@
         (b"x" * (MAX_FRAME_BYTES + 1), ErrorKind.TOO_LARGE),
     ],
 )
-def test_bad_frames_get_a_reason(frame: bytes, kind: ErrorKind) -> None:
+def test_an_invalid_frame_is_refused_with_a_reason(
+    frame: bytes, kind: ErrorKind
+) -> None:
     result = decode_frame(frame)
     assert isinstance(result, Refusal)
     assert result.kind is kind
@@ -49,7 +51,7 @@
 
 
 @given(st.binary(max_size=6), st.integers(0, 30))
-def test_a_damaged_frame_is_decoded_or_refused(noise: bytes, place: int) -> None:
+def test_a_damaged_frame_is_decoded_or_refused(noise: bytes, position: int) -> None:
     frame = bytearray(encode_frame(1, RootOffer(7)))
-    frame[place : place + len(noise)] = noise
+    frame[position : position + len(noise)] = noise
     assert isinstance(decode_frame(bytes(frame)), Envelope | Refusal)
