--- a/pistachioglade/config/__init__.py
+++ b/pistachioglade/config/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' declarative file, the programs' settings and their checks."""
+"""The operators' declarative file, the programs' settings, and checks of both."""
 
 from ._check import Fault, check_document, load_yaml
 from ._model import (
--- a/pistachioglade/config/_check.py
+++ b/pistachioglade/config/_check.py
@@ -1,4 +1,4 @@
-"""Checks YAML against attrs classes and names every fault's line and field."""
+"""Checks YAML against attrs classes and reports each fault with line and field."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 @attrs.frozen
 class Fault:
-    """One thing that is wrong in a file."""
+    """One fault in a file."""
 
-    # Line, counted from 1; 0 when the fault has no place.
+    # Line, counted from 1; 0 if the fault has no line.
     line: int
-    # Path of the field, like "trainers[0].share_percent".
+    # Path of the field, such as "trainers[0].share_percent".
     field: str
-    # What is wrong.
+    # Description of the fault.
     reason: str
 
     def __str__(self) -> str:
@@ -68,8 +68,8 @@
             self.fail(node, path, "must be a list")
             return ()
         return tuple(
-            self.build(item, hint, f"{path}[{place}]")
-            for place, item in enumerate(node.value)
+            self.build(item, hint, f"{path}[{index}]")
+            for index, item in enumerate(node.value)
         )
 
     def _build_dict(self, node: yaml.Node, hint: Any, path: str) -> Any:
@@ -91,13 +91,13 @@
         values: dict[str, Any] = {}
         for key, value in node.value:
             name = str(key.value)
-            place = f"{path}.{name}" if path else name
+            field_path = f"{path}.{name}" if path else name
             if name not in fields:
-                self.fail(key, place, "unknown field")
+                self.fail(key, field_path, "unknown field")
             elif name in values:
-                self.fail(key, place, "stands twice")
+                self.fail(key, field_path, "stands twice")
             else:
-                values[name] = self.build(value, hints[name], place)
+                values[name] = self.build(value, hints[name], field_path)
         for name, field in fields.items():
             if field.default is attrs.NOTHING and name not in values:
                 self.fail(node, f"{path}.{name}" if path else name, "is missing")
@@ -129,7 +129,7 @@
 
 
 def load_yaml(text: str, cls: type) -> tuple[Any, tuple[Fault, ...]]:
-    """Return the object that ``text`` declares, or None with every fault."""
+    """Return the object that ``text`` declares, or None and all faults."""
     try:
         node = yaml.compose(text, Loader=yaml.SafeLoader)
     except yaml.YAMLError as error:
@@ -155,7 +155,7 @@
 
 
 def check_document(text: str) -> tuple[ServiceConfig | None, tuple[Fault, ...]]:
-    """Return the configuration that ``text`` declares, or every fault in it."""
+    """Return the configuration that ``text`` declares, or None and all faults."""
     config, faults = load_yaml(text, ServiceConfig)
     if config is None:
         return None, faults
@@ -172,7 +172,7 @@
 
 
 def _line_of(text: str, path: str) -> int:
-    """Return the line at which the field of ``path`` stands."""
+    """Return the line of the field at ``path``."""
     node: yaml.Node | None = yaml.compose(text, Loader=yaml.SafeLoader)
     line = 0
     for step in re.findall(r"[^.\[\]]+", path):
@@ -187,17 +187,17 @@
     return line
 
 
-def _named(config: ServiceConfig) -> Iterator[tuple[str, str]]:
+def _declared_names(config: ServiceConfig) -> Iterator[tuple[str, str]]:
     sections = ("upstreams", "trainers", "callers", "operators")
     for section in sections:
-        for place, item in enumerate(getattr(config, section)):
-            yield f"{section}[{place}].name", item.name
+        for index, item in enumerate(getattr(config, section)):
+            yield f"{section}[{index}].name", item.name
 
 
 def _name_faults(config: ServiceConfig) -> Iterator[Fault]:
-    named = list(_named(config))
-    seen = Counter((path.partition("[")[0], name) for path, name in named)
-    for path, name in named:
+    declared = list(_declared_names(config))
+    seen = Counter((path.partition("[")[0], name) for path, name in declared)
+    for path, name in declared:
         if not _NAME.fullmatch(name):
             yield Fault(0, path, "must be lower case letters, digits and hyphens")
         if seen[path.partition("[")[0], name] > 1:
@@ -207,9 +207,9 @@
 def _reference_faults(config: ServiceConfig) -> Iterator[Fault]:
     kinds = {item.name: item.kind for item in config.upstreams}
     for section in ("trainers", "callers"):
-        for place, item in enumerate(getattr(config, section)):
+        for index, item in enumerate(getattr(config, section)):
             for number, name in enumerate(item.upstreams):
-                path = f"{section}[{place}].upstreams[{number}]"
+                path = f"{section}[{index}].upstreams[{number}]"
                 if name not in kinds:
                     yield Fault(0, path, f"no upstream {name!r} is declared")
                 elif section == "trainers" and kinds[name] != UpstreamKind.ENGINE:
@@ -230,20 +230,20 @@
 
 def _value_faults(config: ServiceConfig) -> Iterator[Fault]:
     yield from chain.from_iterable(
-        _trainer_faults(place, trainer) for place, trainer in enumerate(config.trainers)
+        _trainer_faults(index, trainer) for index, trainer in enumerate(config.trainers)
     )
     for section in ("trainers", "callers", "operators"):
-        for place, item in enumerate(getattr(config, section)):
+        for index, item in enumerate(getattr(config, section)):
             if not _SHA256.fullmatch(item.token_sha256):
-                path = f"{section}[{place}].token_sha256"
+                path = f"{section}[{index}].token_sha256"
                 yield Fault(0, path, "must be 64 hexadecimal digits")
     if config.policy.name not in _POLICIES:
         yield Fault(0, "policy.name", f"must be one of {', '.join(_POLICIES)}")
     yield from _bounds(config)
 
 
-def _trainer_faults(place: int, trainer: Trainer) -> Iterator[Fault]:
-    path = f"trainers[{place}]"
+def _trainer_faults(index: int, trainer: Trainer) -> Iterator[Fault]:
+    path = f"trainers[{index}]"
     if not 1 <= trainer.share_percent <= 100:
         yield Fault(0, f"{path}.share_percent", "must be 1 to 100")
     if trainer.staleness_bound_versions < 0:
@@ -254,8 +254,8 @@
 
 def _bounds(config: ServiceConfig) -> Iterable[Fault]:
     numbers = [
-        (f"upstreams[{place}].{name}", getattr(item, name))
-        for place, item in enumerate(config.upstreams)
+        (f"upstreams[{index}].{name}", getattr(item, name))
+        for index, item in enumerate(config.upstreams)
         for name in ("reserved_slots", "max_queued_calls", "max_queued_rollouts")
     ]
     numbers += [
--- a/pistachioglade/config/_model.py
+++ b/pistachioglade/config/_model.py
@@ -1,4 +1,4 @@
-"""What an operator declares: trainers, callers, upstreams and the policy."""
+"""The declarative file's objects: upstreams, trainers, callers, operators, policy."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class UpstreamKind(Enum):
-    """What stands behind an upstream's name."""
+    """The kind of the instances of an upstream."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class CallerKind(Enum):
-    """Who a caller is; reports are split by it."""
+    """The group of a caller, by which reports are split."""
 
     LAWYER = "lawyer"
     INDEXER = "indexer"
@@ -25,7 +25,7 @@
 
 
 class Weighing(Enum):
-    """Which of the two measures a deployment weighs more."""
+    """The measure that a deployment weighs more: idle engines or stale samples."""
 
     IDLE = "idle"
     STALENESS = "staleness"
@@ -35,33 +35,33 @@
 class Operation:
     """One operation of a plain service."""
 
-    # Name, the last part of the call's path.
+    # Name, the last segment of the call's path.
     name: str
-    # Whether running it twice is harmless.
+    # Whether running the operation twice is harmless.
     idempotent: bool
 
 
 @attrs.frozen
 class Upstream:
-    """A set of like instances: model engines or a plain service."""
+    """A set of equivalent instances: model engines or a plain service."""
 
     # Name that callers use.
     name: str
-    # What stands behind it.
+    # Kind of the instances.
     kind: UpstreamKind
-    # Operations; for engines "completion" is built in.
+    # Operations of a plain service; model engines have the operation "completion".
     operations: tuple[Operation, ...] = ()
-    # Slots of each engine that rollouts leave free for lookups.
+    # Number of slots per engine that are reserved for lookups.
     reserved_slots: int = 1
-    # Most lookups that wait at one agent.
+    # Maximum number of lookups in the queue of one agent.
     max_queued_calls: int = 64
-    # Most rollouts that wait at one agent.
+    # Maximum number of rollouts in the queue of one agent.
     max_queued_rollouts: int = 256
 
 
 @attrs.frozen
 class Trainer:
-    """A training service that takes rollouts."""
+    """A training service that requests rollouts."""
 
     # Name, used in paths and in the report.
     name: str
@@ -71,7 +71,7 @@
     upstreams: tuple[str, ...]
     # Share of each of those upstreams, in percent; 0 to 100.
     share_percent: int
-    # Most versions that a sample may be behind the newest.
+    # Maximum number of versions by which a sample may be behind the newest.
     staleness_bound_versions: int
     # SHA-256 of its bearer token.
     token_sha256: str
@@ -79,13 +79,13 @@
 
 @attrs.frozen
 class Caller:
-    """Somebody who makes calls."""
+    """A client account that makes calls."""
 
     # Name, used in the report.
     name: str
-    # Who it is.
+    # Group of the caller.
     kind: CallerKind
-    # Upstreams that it may call.
+    # Names of the upstreams that the caller may call.
     upstreams: tuple[str, ...]
     # SHA-256 of its bearer token.
     token_sha256: str
@@ -93,7 +93,7 @@
 
 @attrs.frozen
 class Operator:
-    """Somebody who may apply files and drain nodes."""
+    """An account that may apply files and drain nodes."""
 
     # Name, used in logs.
     name: str
@@ -103,37 +103,37 @@
 
 @attrs.frozen
 class Policy:
-    """How the engines are divided; see docs/DESIGN.md."""
+    """How the engines are shared between trainers and callers; see docs/DESIGN.md."""
 
-    # "fair", or "baseline" for the plain policy that it is measured against.
+    # "fair", or "baseline" for the simple policy to which "fair" is compared.
     name: str = "fair"
-    # Which measure goes first.
+    # Measure that is weighed more.
     weighing: Weighing = Weighing.IDLE
-    # Part of a step's samples that may be made twice, in percent.
+    # Maximum share of a step's samples that may be generated twice, in percent.
     hedge_percent: int = 5
-    # Tries beyond the first, as a part of first tries, in percent.
+    # Retry budget, in percent of first attempts.
     retry_percent: int = 20
 
 
 @attrs.frozen
 class ServiceConfig:
-    """One declarative file, whole."""
+    """The complete declarative file."""
 
-    # Upstreams by declaration order.
+    # Upstreams in the order of their declaration.
     upstreams: tuple[Upstream, ...] = ()
-    # Trainers by declaration order.
+    # Trainers in the order of their declaration.
     trainers: tuple[Trainer, ...] = ()
-    # Callers by declaration order.
+    # Callers in the order of their declaration.
     callers: tuple[Caller, ...] = ()
-    # Operators by declaration order.
+    # Operators in the order of their declaration.
     operators: tuple[Operator, ...] = ()
     # The policy.
     policy: Policy = attrs.field(factory=Policy)
 
     def trainer(self, name: str) -> Trainer | None:
-        """Return the trainer of that name."""
+        """Return the trainer of that name; None if there is none."""
         return next((item for item in self.trainers if item.name == name), None)
 
     def upstream(self, name: str) -> Upstream | None:
-        """Return the upstream of that name."""
+        """Return the upstream of that name; None if there is none."""
         return next((item for item in self.upstreams if item.name == name), None)
--- a/pistachioglade/config/_parts.py
+++ b/pistachioglade/config/_parts.py
@@ -1,4 +1,4 @@
-"""A configuration as content-addressed parts, so that a change moves little."""
+"""A configuration as content-addressed parts, so that only changed parts are sent."""
 
 from __future__ import annotations
 
--- a/pistachioglade/config/_settings.py
+++ b/pistachioglade/config/_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the programs, read once at start."""
+"""Settings of the programs, read once at the start."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class SettingsError(Exception):
-    """A settings file can't be used; the text names file, line and field."""
+    """A settings file is unusable; the message names file, line and field."""
 
 
 @attrs.frozen
 class NodeSettings:
-    """What every node of the system has to know at its start."""
+    """Settings that every node needs at its start."""
 
-    # Node id; stays the same over restarts.
+    # Node id, the same after each restart.
     node: str
-    # Failure domain, in the deployment's words.
+    # Failure domain, as the deployment names it.
     domain: str
     # Host and port at which peers reach the link server of this node.
     link_address: str
@@ -30,26 +30,26 @@
     object_api_url: str
     # Base URL of the platform's instance list.
     instance_list_url: str
-    # File with the secret that the system's own processes share.
+    # File with the secret that all processes of the service share.
     cluster_secret_file: str
-    # Host and port that the link server listens at; empty for link_address.
+    # Host and port at which the link server listens; empty for link_address.
     listen_address: str = ""
-    # Host and port of statsd; empty for none.
+    # Host and port of statsd; empty for no metrics.
     statsd_address: str = ""
-    # File that spans are appended to; empty for none.
+    # File to which spans are appended; empty for no spans.
     trace_file: str = ""
-    # Part of the requests that are traced when the caller does not say.
+    # Fraction of requests to trace if the caller sends no trace context.
     trace_ratio: float = 1.0
-    # Time without any peer and without the object API after which a node
-    # takes no new work.
+    # Time without contact to any peer or to the object API, in seconds, after which the
+    # node accepts no new work.
     isolation_bound_s: float = 30.0
-    # Time between two comparisons with a peer.
+    # Interval of the comparisons with a peer, in seconds.
     digest_interval_s: float = 2.0
-    # Mean time between two looks for listed members that are not known here.
+    # Mean interval of the checks for listed but unknown members, in seconds.
     join_interval_s: float = 5.0
-    # Time without a word from a peer after which it is suspected.
+    # Time without a message from a peer until the peer is suspected, in seconds.
     suspect_after_s: float = 2.0
-    # Time that a suspected member has to answer before it counts as dead.
+    # Time within which a suspected member has to answer, in seconds; then it is dead.
     dead_after_s: float = 3.0
 
 
@@ -61,25 +61,25 @@
     common: NodeSettings
     # Host and port for callers and operators.
     http_address: str
-    # File with the first operator's token.
+    # File with the token of the first operator.
     operator_token_file: str
-    # Threads that serve requests; each waiting request holds one.
+    # Number of threads that serve requests; each waiting request occupies one.
     http_threads: int = 48
-    # Largest body that a request may have.
+    # Largest request body, in bytes.
     max_body_bytes: int = 4 * 1024 * 1024
-    # Deadline of a request that names none.
+    # Time budget of a request without a deadline, in seconds.
     default_budget_s: float = 30.0
 
 
 @attrs.frozen
 class EngineSettings:
-    """One upstream instance that an agent fronts."""
+    """One upstream instance that an agent serves."""
 
     # Instance name, as in the instance list.
     name: str
     # Base URL.
     url: str
-    # Requests that it takes at once.
+    # Number of requests that the instance runs concurrently.
     slots: int = 8
 
 
@@ -89,26 +89,26 @@
 
     # What every node has.
     common: NodeSettings
-    # Upstream that the instances belong to.
+    # Name of the upstream to which the instances belong.
     upstream: str
     # The instances.
     instances: tuple[EngineSettings, ...]
-    # Base URL of the weight store; empty beside a plain service.
+    # Base URL of the weight store; empty for a plain service.
     weight_store_url: str = ""
-    # Base URL of the scorer; empty for none.
+    # Base URL of the scorer; empty for no scorer.
     scorer_url: str = ""
-    # Time between two looks at an instance's state.
+    # Interval of the checks of an instance's state, in seconds.
     state_interval_s: float = 0.3
-    # Time that a planned stop waits for what runs.
+    # Time for which a planned stop waits for running requests, in seconds.
     drain_bound_s: float = 60.0
-    # Time that a finished sample is kept for an owner that comes back.
+    # Time for which a finished sample is kept for a returning owner, in seconds.
     keep_samples_s: float = 120.0
-    # Time a step owner's lease is valid without renewal.
+    # Time for which a step owner's lease is valid without renewal, in seconds.
     lease_s: float = 6.0
 
 
 def load_settings(path: str, cls: type[T]) -> T:
-    """Read and check one settings file."""
+    """Read and check one settings file; raise SettingsError for faults."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -121,7 +121,7 @@
 
 
 def read_secret(path: str) -> str:
-    """Return the secret in a file, without the line end."""
+    """Return the secret in a file, without surrounding white space."""
     try:
         secret = Path(path).read_text(encoding="utf-8").strip()
     except OSError as error:
--- a/pistachioglade/config/tests/__init__.py
+++ b/pistachioglade/config/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the configuration."""
+"""Tests of the configuration's checks."""
--- a/pistachioglade/config/tests/test_check.py
+++ b/pistachioglade/config/tests/test_check.py
@@ -1,4 +1,4 @@
-"""The file checker names line and field, and takes whatever it is given."""
+"""The checker reports line and field of each fault and never raises."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("name", ["vereniging", "jalrekha"])
-def test_the_deployments_files_have_no_fault(name: str) -> None:
+def test_the_deployments_files_have_no_faults(name: str) -> None:
     text = (_DEPLOYMENTS / name / "config.yaml").read_text(encoding="utf-8")
     config, faults = check_document(text)
     assert not faults
@@ -45,7 +45,7 @@
         ("token_sha256: 9", "token_sha256: x", 21, "trainers[0].token_sha256"),
     ],
 )
-def test_a_fault_has_its_line_and_field(
+def test_a_fault_is_reported_with_its_line_and_field(
     old: str, new: str, line: int, field: str
 ) -> None:
     config, faults = check_document(_GOOD.replace(old, new))
@@ -54,25 +54,27 @@
 
 
 @pytest.mark.parametrize("text", ["", "- a", "a: [", "\x00", "&a [*a]", "a: !!x 1"])
-def test_what_is_no_file_is_refused(text: str) -> None:
+def test_text_that_declares_no_configuration_is_refused(text: str) -> None:
     config, faults = check_document(text)
     assert config is None
     assert faults
 
 
 @given(st.text(max_size=80))
-def test_any_text_is_checked(text: str) -> None:
+def test_any_text_gives_a_configuration_or_faults(text: str) -> None:
     config, faults = check_document(text)
     assert (config is None) == bool(faults)
 
 
 @given(st.integers(0, len(_GOOD) - 1), st.text(max_size=4))
-def test_a_damaged_file_is_checked(place: int, noise: str) -> None:
-    config, faults = check_document(_GOOD[:place] + noise + _GOOD[place + 2 :])
+def test_a_damaged_file_gives_a_configuration_or_faults(
+    position: int, noise: str
+) -> None:
+    config, faults = check_document(_GOOD[:position] + noise + _GOOD[position + 2 :])
     assert (config is None) == bool(faults)
 
 
-def test_settings_errors_name_file_line_and_field(tmp_path: Path) -> None:
+def test_a_settings_error_names_file_line_and_field(tmp_path: Path) -> None:
     path = tmp_path / "agent.yaml"
     path.write_text("upstream: lm\ninstances: []\ncommon: {}\nlease: 3\n")
     with pytest.raises(SettingsError) as caught:
--- a/pistachioglade/telemetry/_metrics.py
+++ b/pistachioglade/telemetry/_metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and timers over statsd; names are in docs/OPERATIONS.md."""
+"""Counters, gauges and timers for statsd; docs/OPERATIONS.md explains the names."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Metrics:
-    """A statsd client that is silent when no address is set."""
+    """A statsd client that sends nothing if the address is empty."""
 
     def __init__(self, address: str, node: str) -> None:
         prefix = f"pistachioglade.{node.replace('.', '_')}"
@@ -26,6 +26,6 @@
             self._client.gauge(name, value)
 
     def timing(self, name: str, duration_s: float) -> None:
-        """Record a duration; statsd carries it in milliseconds."""
+        """Record a duration, which is sent in milliseconds."""
         if self._client is not None:
             self._client.timing(name, duration_s * 1000.0)
--- a/pistachioglade/telemetry/_traces.py
+++ b/pistachioglade/telemetry/_traces.py
@@ -1,4 +1,4 @@
-"""Spans for each hop, by OpenTelemetry, written to a file as JSON lines."""
+"""OpenTelemetry spans for each hop, written to a file as JSON lines."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class _JsonLinesExporter(SpanExporter):
-    """Appends each span to a file."""
+    """Appends each span to a file as a line of JSON."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
@@ -55,7 +55,7 @@
 
 
 class Tracing:
-    """The tracer of one process; without a path it passes contexts on only."""
+    """The tracer of one process; without a path, it only propagates trace contexts."""
 
     def __init__(self, node: str, path: str, sample_ratio: float) -> None:
         self._provider: TracerProvider | None = None
@@ -73,7 +73,7 @@
     def span(
         self, name: str, traceparent: str, **attributes: str | int | float
     ) -> Iterator[str]:
-        """Open a span below ``traceparent`` and give the header for the next hop."""
+        """Open a child span of ``traceparent``; yield the header for the next hop."""
         if self._provider is None:
             yield traceparent
             return
@@ -87,6 +87,6 @@
             yield carrier.get("traceparent", traceparent)
 
     def close(self) -> None:
-        """Write what is still buffered."""
+        """Write the buffered spans and stop."""
         if self._provider is not None:
             self._provider.shutdown()
