--- a/pistachioglade/platform/_configuration.py
+++ b/pistachioglade/platform/_configuration.py
@@ -158,9 +158,9 @@
         return _unreadable("weight version", error)
 
 
-def _unreadable(what: str, error: Exception) -> Refusal:
+def _unreadable(subject: str, error: Exception) -> Refusal:
     """Return a refusal whose reason is short, whatever the fields contain."""
-    reason = f"{what}: {type(error).__name__} {error!s:.120}"
+    reason = f"{subject}: {type(error).__name__} {error!s:.120}"
     return refuse(ErrorKind.UNREADABLE, reason)
 
 
--- a/pistachioglade/store/_client.py
+++ b/pistachioglade/store/_client.py
@@ -71,7 +71,7 @@
         max_object_bytes: int = MAX_OBJECT_BYTES,
         policy: Policy = FULL_POLICY,
     ) -> None:
-        # The mechanisms that are enabled.
+        # The enabled mechanisms.
         self.policy = policy
         self._metrics = metrics or Metrics()
         # Largest object that the store accepts, in bytes.
