--- a/pistachioglade/agent/__init__.py
+++ b/pistachioglade/agent/__init__.py
@@ -1,4 +1,4 @@
-"""The agent: the only way to the instances that it stands beside."""
+"""The agent: the only process that sends requests to its instances."""
 
 from ._program import main
 
--- a/pistachioglade/agent/_calls.py
+++ b/pistachioglade/agent/_calls.py
@@ -1,4 +1,4 @@
-"""Runs calls: at most once for each key, whole answers only."""
+"""Runs calls: at most once for each key, with complete answers only."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class CallRunner:
-    """The at-most-once gate and the way to the instances behind it."""
+    """Admits calls through the at-most-once gate and runs them on instances."""
 
     def __init__(
         self,
@@ -42,14 +42,14 @@
         self.running = 0
 
     def open_ticket(self, message: OpenTicket) -> Ticket | Refusal:
-        """Bind a run of keys to this incarnation."""
+        """Bind a range of keys to this incarnation."""
         refusal = self._node.admission()
         if refusal is not None:
             return refusal
         return self._gate.open_ticket(message.caller, message.upstream, message.count)
 
     async def run(self, call: RunCall) -> CallAnswer | Refusal:
-        """Answer one call."""
+        """Run one call; a call with a ticket runs at most once."""
         if call.ticket is None:
             refusal = self._node.admission()
             return refusal if refusal is not None else await self._execute(call)
@@ -61,31 +61,31 @@
             return verdict
         if isinstance(verdict, Replay):
             return verdict.answer
-        place = (ticket.number, call.key_index)
+        key = (ticket.number, call.key_index)
         if isinstance(verdict, Attach):
-            return await asyncio.shield(self._first_tries[place])
-        task = asyncio.create_task(self._first_try(call, place))
-        self._first_tries[place] = task
+            return await asyncio.shield(self._first_tries[key])
+        task = asyncio.create_task(self._first_try(call, key))
+        self._first_tries[key] = task
         return await asyncio.shield(task)
 
     async def _first_try(
-        self, call: RunCall, place: tuple[int, int]
+        self, call: RunCall, key: tuple[int, int]
     ) -> CallAnswer | Refusal:
-        """Run a key that the gate admitted; its outcome is final."""
+        """Run the call of a key that the gate admitted; the outcome is final."""
         result: CallAnswer | Refusal = refuse(ErrorKind.INTERNAL, "the call failed")
         try:
             refusal = self._node.admission()
             result = refusal if refusal is not None else await self._execute(call)
         finally:
-            self._gate.finish(*place, result)
-            del self._first_tries[place]
+            self._gate.finish(*key, result)
+            del self._first_tries[key]
         return result
 
     async def _execute(self, call: RunCall) -> CallAnswer | Refusal:
         arrived_s = time.monotonic()
         self.running += 1
         try:
-            slot = await self._scheduler.call_slot(call.budget_s)
+            slot = await self._scheduler.wait_for_call_slot(call.budget_s)
             if isinstance(slot, Refusal):
                 return slot
             queued_s = time.monotonic() - arrived_s
@@ -103,7 +103,11 @@
                 "agent.call", call.traceparent, instance=instance
             ) as traceparent:
                 work = partial(
-                    self._run_at, call, self._clients[instance], budget_s, traceparent
+                    self._run_on_instance,
+                    call,
+                    self._clients[instance],
+                    budget_s,
+                    traceparent,
                 )
                 loop = asyncio.get_running_loop()
                 result = await loop.run_in_executor(self._executor, work)
@@ -116,7 +120,7 @@
         agent = self._node.settings.node
         return CallAnswer(call.request_id, status, body, agent, queued_s, upstream_s)
 
-    def _run_at(
+    def _run_on_instance(
         self, call: RunCall, client: InstanceClient, budget_s: float, traceparent: str
     ) -> tuple[int, bytes] | Refusal:
         if self._is_engine():
@@ -152,7 +156,7 @@
         return 200, json.dumps(answer).encode()
 
     def _default_model(self) -> str:
-        """Return the model for lookups that name none."""
+        """Return the model for completion requests that name none."""
         models = self._node.board.read(NEWEST)
         return min(models, default="")
 
--- a/pistachioglade/agent/_facts.py
+++ b/pistachioglade/agent/_facts.py
@@ -1,4 +1,4 @@
-"""The facts on an agent's blackboard, besides those of every node."""
+"""Blackboard topics that only agents have."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 @attrs.frozen
 class InstanceView:
-    """What an instance last said of itself."""
+    """The state that an instance last reported."""
 
     # Instance name.
     name: str
-    # Whether it answered the last look.
+    # Whether the instance answered the last state request.
     healthy: bool
-    # Whether it takes no new work any more.
+    # Whether the instance takes no new work.
     leaving: bool = False
-    # Model to the version that its next token would be made with.
+    # Model to the weight version that generates the next token.
     versions: Mapping[str, int] = attrs.field(factory=dict)
 
 
--- a/pistachioglade/agent/_instances.py
+++ b/pistachioglade/agent/_instances.py
@@ -1,4 +1,4 @@
-"""Looks at each instance's state, over and over."""
+"""Polls the state of each instance."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 _log = logger(__name__)
 
-_LOOK_TIMEOUT_S: Final = 1.0
-#: Time between two reads of the platform's list.
+_STATE_TIMEOUT_S: Final = 1.0
+#: Time between two reads of the platform's instance list, in seconds.
 _LIST_INTERVAL_S: Final = 5.0
 
 
 class InstanceWatcher:
-    """The one writer of :data:`INSTANCES`."""
+    """Polls the instances; the only writer of :data:`INSTANCES`."""
 
     def __init__(
         self, settings: AgentSettings, board: Blackboard, instances: InstanceList
@@ -38,20 +38,20 @@
         self._listed_leaving: frozenset[str] = frozenset()
 
     async def run(self) -> None:
-        """Watch for as long as the process runs."""
-        looks = [self._watch(item) for item in self._settings.instances]
-        await asyncio.gather(self._watch_list(), *looks)
+        """Poll the instances and the instance list until cancelled."""
+        watches = [self._watch(item) for item in self._settings.instances]
+        await asyncio.gather(self._watch_list(), *watches)
 
     async def _watch(self, instance: EngineSettings) -> None:
         while True:
-            await self.look(instance.name)
+            await self.read_state(instance.name)
             await asyncio.sleep(self._settings.state_interval_s)
 
-    async def look(self, name: str) -> InstanceView:
+    async def read_state(self, name: str) -> InstanceView:
         """Read the state of one instance now."""
         session = self._sessions[name]
         reply = await asyncio.to_thread(
-            session.request, "GET", "/state", _LOOK_TIMEOUT_S
+            session.request, "GET", "/state", _STATE_TIMEOUT_S
         )
         if isinstance(reply, Refusal) or reply.status != 200:
             view = InstanceView(name, healthy=False)
--- a/pistachioglade/agent/_ledger.py
+++ b/pistachioglade/agent/_ledger.py
@@ -1,7 +1,7 @@
-"""Writes what became of each step to the object API, in batches.
+"""Writes a record of each step to the object API, in batches.
 
-One object for each step and owner incarnation, so that no two writers meet; the
-report merges them by the samples' indices.
+There is one object for each step and owner incarnation, so that no object has two
+writers; the report merges the objects by the samples' indices.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 
 @attrs.frozen
 class StepCounts:
-    """What an owner has counted of a step, beside its receipts."""
+    """The counters of a step that its owner keeps besides the receipts."""
 
-    # Error kind to how often a sample's making was refused or failed.
+    # Error kind to the number of sample requests that were refused or failed.
     refusals: Mapping[str, int] = attrs.field(factory=dict)
-    # Reason to tokens that were made and not delivered.
+    # Reason to the number of tokens that were generated and not delivered.
     wasted_tokens: Mapping[str, int] = attrs.field(factory=dict)
 
 
@@ -40,39 +40,40 @@
         self._node = node
         self._pending: dict[str, StepRecord] = {}
         self._versions: dict[str, int] = {}
-        # Counts of each step that was ever noted here, some hundred bytes a step.
+        # Counts of each step that was ever recorded here, by path; some hundred bytes
+        # a step.
         self._counts: dict[str, StepCounts] = {}
 
     def _path(self, trainer: str, step: int) -> str:
         name = f"{self._node.settings.node}.{self._node.incarnation}"
         return f"ledger/{trainer}/{step}/{name}"
 
-    def note(self, record: StepRecord) -> None:
-        """Keep the newest state of a step for the next batch."""
+    def put_record(self, record: StepRecord) -> None:
+        """Keep the newest record of a step for the next batch of writes."""
         path = self._path(record.trainer, record.step)
         self._pending[path] = record
         self._counts[path] = StepCounts(record.refusals, record.wasted_tokens)
 
     def counts(self, trainer: str, step: int) -> StepCounts:
-        """Return what was counted of a step that was open here before."""
+        """Return the counts of a step that was open here before."""
         return self._counts.get(self._path(trainer, step), StepCounts())
 
     def is_recorded(self, trainer: str, step: int) -> bool:
-        """Return whether the newest state of a step is in the object API."""
+        """Return whether the newest record of a step is in the object API."""
         path = self._path(trainer, step)
         return path in self._versions and path not in self._pending
 
     async def run(self) -> None:
-        """Write for as long as the process runs."""
+        """Write pending records at intervals until cancelled."""
         while True:
             await asyncio.sleep(_WRITE_INTERVAL_S)
             await self.flush()
 
     async def flush(self) -> None:
-        """Write what is pending; keep what could not be written.
+        """Write the pending records; keep those that could not be written.
 
-        A record that is refused holds up no other one; only where the object API is
-        away do all wait, since each call would take its whole time for nothing.
+        A refused record does not delay the others. The round ends only if the object
+        API is unavailable, since each further call would run into its timeout.
         """
         for path, record in tuple(self._pending.items()):
             refusal = await self._write(path, pack_step(record))
@@ -82,7 +83,7 @@
                 return
 
     async def _write(self, path: str, value: Any) -> Refusal | None:
-        """Write one record; return why it is not known to be written."""
+        """Write one record; return a refusal if the write is not confirmed."""
         version = self._versions.get(path, 0)
         result = await asyncio.to_thread(self._node.api.put, path, value, version)
         if not isinstance(result, Refusal):
--- a/pistachioglade/agent/_owner.py
+++ b/pistachioglade/agent/_owner.py
@@ -1,4 +1,4 @@
-"""The steps that this agent owns."""
+"""The steps of the trainers whose lease this agent holds."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 
 _log = logger(__name__)
 
-#: Most samples in one step; its record stays below a megabyte.
+#: Maximum number of samples in a step; keeps the step's record below a megabyte.
 MAX_STEP_SAMPLES = 16_384
 
 
 class StepOwner:
-    """Opens steps and gives out their samples, under one lease a trainer."""
+    """Opens steps and delivers their samples, under one lease for each trainer."""
 
     def __init__(
         self, settings: AgentSettings, node: Node, rollouts: RolloutRunner
@@ -45,24 +45,24 @@
         self.ledger = Ledger(node)
         self._leases: dict[str, OwnerLease] = {}
         self._runs: dict[str, dict[int, StepRun]] = {}
-        # Steps of each trainer that were finished and written here and are forgotten,
-        # under the lease that is held; a number a step.
+        # Numbers of each trainer's steps that were finished, recorded and forgotten
+        # here under the current lease.
         self._forgotten: dict[str, set[int]] = {}
         self._paces: dict[str, VersionPace] = {}
-        self._known: dict[str, int] = {}
+        self._known_versions: dict[str, int] = {}
         node.board.follow(NEWEST, self._on_versions)
 
     def _on_versions(self, newest: Mapping[str, ModelVersion]) -> None:
-        """Note the pace of each model's versions."""
+        """Record the publication pace of each model."""
         now_s = time.monotonic()
         for model, published in newest.items():
-            if published.version > self._known.get(model, 0):
-                self._known[model] = published.version
+            if published.version > self._known_versions.get(model, 0):
+                self._known_versions[model] = published.version
                 pace = self._paces.get(model, VersionPace())
                 self._paces[model] = pace.published(now_s)
 
     def _hold_s(self, trainer: str) -> float:
-        """Return how long a step of a trainer waits for new weights."""
+        """Return for how long a trainer's step waits for new weights."""
         config = self._node.board.read(CONFIG)
         declared = config.trainer(trainer) if config else None
         if config is None or declared is None:
@@ -80,7 +80,7 @@
         )
 
     async def run(self) -> None:
-        """Renew leases and write the ledger for as long as the process runs."""
+        """Renew leases and write the ledger until cancelled."""
         await asyncio.gather(self._renewals(), self.ledger.run())
 
     async def _renewals(self) -> None:
@@ -93,12 +93,13 @@
         was_held = lease.is_held
         await lease.renew()
         if was_held and not lease.is_held:
-            self._drop(trainer)
+            self._close_steps(trainer)
 
-    def _drop(self, trainer: str) -> None:
+    def _close_steps(self, trainer: str) -> None:
         for run in self._runs.pop(trainer, {}).values():
             run.close()
-        # The next owner may hear of other copies, so that this record is not the last.
+        # The next owner may receive receipts of other copies, so a record written here
+        # may not be the final record.
         self._forgotten.pop(trainer, None)
 
     def _lease(self, trainer: str) -> OwnerLease:
@@ -110,14 +111,14 @@
         return self._leases[trainer]
 
     async def open(self, message: OpenStep) -> StepOpened | OwnerIs | Refusal:
-        """Open a step here, or name the node that owns the trainer's steps."""
+        """Open a step here, or return the node that owns the trainer's steps."""
         problem = self._check(message)
         if problem is not None:
             return problem
         lease = self._lease(message.trainer)
-        elsewhere = await lease.acquire(message.unreachable_owner)
-        if elsewhere is not None:
-            return elsewhere
+        other_owner = await lease.acquire(message.unreachable_owner)
+        if other_owner is not None:
+            return other_owner
         runs = self._runs.setdefault(message.trainer, {})
         run = runs.get(message.step)
         if run is None:
@@ -158,7 +159,7 @@
         )
 
     def _may_start(self, trainer: str, step: int) -> bool:
-        """Let a later step start samples once earlier ones have none left."""
+        """Return whether earlier steps have no samples left to start."""
         runs = self._runs.get(trainer, {})
         return all(
             run.plan.pending_count == 0 for number, run in runs.items() if number < step
@@ -176,7 +177,7 @@
             _log.info("step.forgotten", trainer=trainer, step=step)
 
     async def fetch(self, message: FetchSamples) -> SampleBatch | OwnerIs | Refusal:
-        """Give out samples of a step that is open here."""
+        """Return samples of a step that is open here."""
         run = self._runs.get(message.trainer, {}).get(message.step)
         if run is None and message.step in self._forgotten.get(message.trainer, ()):
             return SampleBatch(message.step, (), missing_count=0, is_recorded=True)
@@ -186,9 +187,9 @@
         return await run.fetch(message)
 
     async def hand_over(self) -> None:
-        """Give every lease back and write what is left of the record."""
+        """Release every lease and write the pending records."""
         for trainer in tuple(self._runs):
-            self._drop(trainer)
+            self._close_steps(trainer)
         await asyncio.gather(*(lease.release() for lease in self._leases.values()))
         await asyncio.sleep(0)
         await self.ledger.flush()
--- a/pistachioglade/agent/_owner_lease.py
+++ b/pistachioglade/agent/_owner_lease.py
@@ -1,9 +1,9 @@
 """The lease on a trainer's steps, kept in the object API.
 
-The lease only saves work: it is not what keeps samples from being delivered
-twice (the trainer's receipts do). So a holder works on while the object API is
-out of reach, and where no lease can be had in an outage a node takes the steps
-provisionally, with a fence above every one that it has seen.
+The lease only avoids duplicate work; the trainer's receipts are what prevents a
+sample from being delivered twice. So a holder continues while the object API is
+unavailable, and if no lease can be acquired in an outage, a node owns the steps
+provisionally, with a fencing token above every token that the node has seen.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class LeaseState(Enum):
-    """What this node knows of its own lease."""
+    """The state of this node's own lease."""
 
     HELD = "held"
     PROVISIONAL = "provisional"
@@ -36,20 +36,20 @@
 
 @attrs.frozen
 class LeaseValue:
-    """The object behind a lease."""
+    """The value of a lease in the object API."""
 
     # Node id of the holder; empty after a release.
     owner: str
-    # Boot nonce of the holder.
+    # Incarnation of the holder; differs at each start of the process.
     incarnation: int
-    # Fencing number; grows with each holder.
+    # Fencing token; grows with each holder.
     fence: int
-    # Grows with each renewal, so that the object's version does.
+    # Number of renewals; changes the value, so that the object's version grows.
     renewals: int = 0
 
 
 class OwnerLease:
-    """One trainer's lease, as this node sees it."""
+    """The lease on one trainer's steps, as this node sees it."""
 
     def __init__(
         self,
@@ -76,10 +76,10 @@
         return self.state is not LeaseState.LOST
 
     async def acquire(self, unreachable_owner: str = "") -> OwnerIs | None:
-        """Take the lease; return who has it if it can't be taken now.
+        """Acquire the lease; return the owner if another node holds the lease.
 
-        A holder that callers can't reach may go on renewing, since its own way to
-        the object API is open; so the lease is taken from ``unreachable_owner``.
+        A holder that callers can't reach may go on renewing, since its connection to
+        the object API works; so the lease is taken over from ``unreachable_owner``.
         """
         async with self._lock:
             if self.is_held:
@@ -118,18 +118,18 @@
         value = LeaseValue(self._node.settings.node, self._node.incarnation, fence)
         result = await self._put(value, version)
         if isinstance(result, int):
-            self._hold(value, result)
+            self._mark_held(value, result)
             return None
         stored = await asyncio.to_thread(self._node.api.get, self._path)
         if not isinstance(stored, StoredObject):
             return self._provisional()
         found = structure(stored.value, LeaseValue)
         if found == value:
-            self._hold(value, stored.version)
+            self._mark_held(value, stored.version)
             return None
         return OwnerIs(found.owner)
 
-    def _hold(self, value: LeaseValue, version: int) -> None:
+    def _mark_held(self, value: LeaseValue, version: int) -> None:
         _log.info("lease.held", path=self._path, fence=value.fence)
         self._value = value
         self._version = version
@@ -137,7 +137,7 @@
         self.state = LeaseState.HELD
 
     def _provisional(self) -> OwnerIs | None:
-        """Act without the object API, unless a live holder is known."""
+        """Own the steps without the object API, unless a live holder is known."""
         known = self._value
         if known is not None and not self._is_free(known, time.monotonic()):
             return OwnerIs(known.owner)
@@ -151,7 +151,7 @@
         return await asyncio.to_thread(self._node.api.put, self._path, data, version)
 
     async def renew(self) -> None:
-        """Renew once; the state tells afterwards whether it is still held."""
+        """Renew the lease once and update the state."""
         async with self._lock:
             if self.state is LeaseState.PROVISIONAL:
                 await self._settle_provisional()
@@ -162,31 +162,31 @@
         value = attrs.evolve(held, renewals=held.renewals + 1)
         result = await self._put(value, self._version)
         if isinstance(result, int):
-            self._hold_quietly(value, result)
+            self._store_renewal(value, result)
             return
         stored = await asyncio.to_thread(self._node.api.get, self._path)
         if isinstance(stored, StoredObject):
             self._compare(stored)
 
-    def _hold_quietly(self, value: LeaseValue, version: int) -> None:
+    def _store_renewal(self, value: LeaseValue, version: int) -> None:
         self._value = value
         self._version = version
 
     def _compare(self, stored: StoredObject) -> None:
-        """Tell a lost answer from a lost lease."""
+        """Determine whether only the answer was lost, or the lease itself."""
         found = structure(stored.value, LeaseValue)
         if (found.owner, found.incarnation, found.fence) == (
             self._node.settings.node,
             self._node.incarnation,
             self.fence,
         ):
-            self._hold_quietly(found, stored.version)
+            self._store_renewal(found, stored.version)
             return
         _log.warning("lease.lost", path=self._path, owner=found.owner)
         self.state = LeaseState.LOST
 
     async def _settle_provisional(self) -> None:
-        """Turn a provisional ownership into a lease, or give it up."""
+        """Turn provisional ownership into a lease, or end the ownership."""
         stored = await asyncio.to_thread(self._node.api.get, self._path)
         if isinstance(stored, StoredObject):
             found = structure(stored.value, LeaseValue)
@@ -203,10 +203,10 @@
         value = LeaseValue(self._node.settings.node, self._node.incarnation, fence)
         result = await self._put(value, version)
         if isinstance(result, int):
-            self._hold(value, result)
+            self._mark_held(value, result)
 
     async def release(self) -> None:
-        """Give the lease back, so that a successor needs not wait."""
+        """Release the lease, so that a successor need not wait for its expiry."""
         async with self._lock:
             held = self._value
             if self.state is LeaseState.HELD and held is not None:
--- a/pistachioglade/agent/_program.py
+++ b/pistachioglade/agent/_program.py
@@ -46,12 +46,12 @@
 
 _SPARE_THREADS: Final = 8
 _DRAIN_POLL_S: Final = 0.05
-#: Time that a leaving agent stays to be heard by its peers.
+#: Time for which a leaving agent still answers its peers, in seconds.
 _LINGER_S: Final = 0.5
 
 
 class Agent:
-    """All parts of one agent, wired."""
+    """The components of one agent and the dispatch of its link messages."""
 
     def __init__(self, settings: AgentSettings) -> None:
         self._settings = settings
@@ -76,7 +76,7 @@
         self._server = LinkServer(
             self.node.identity, self.handle, self.node.pool.traffic
         )
-        self._drain_asked = asyncio.Event()
+        self._drain_requested = asyncio.Event()
 
     @singledispatchmethod
     async def handle(self, message: Any, peer: Peer) -> Any:
@@ -117,7 +117,7 @@
 
     @handle.register
     async def _(self, message: DrainNode, peer: Peer) -> Any:
-        _log.info("drain.asked", operator=message.operator)
+        _log.info("drain.requested", operator=message.operator)
         self.begin_drain()
         return Acknowledged()
 
@@ -126,13 +126,13 @@
         return self.status()
 
     def status(self) -> NodeStatus:
-        """Return this agent's view of itself."""
+        """Return the status that this agent reports about itself."""
         views = self.node.board.read(INSTANCES)
         return NodeStatus(
             node=self._settings.common.node,
             incarnation=self.node.incarnation,
             generation=self.node.root.generation,
-            leaving=self._drain_asked.is_set(),
+            leaving=self._drain_requested.is_set(),
             versions={name: dict(view.versions) for name, view in views.items()},
             running=sum(self._slots.running()),
             queued=sum(self._scheduler.queued()),
@@ -142,26 +142,26 @@
         )
 
     def begin_drain(self) -> None:
-        """Take no new work from now on; idempotent."""
+        """Start the planned stop: refuse new work; idempotent."""
         self.node.leave()
         refusal = refuse(ErrorKind.LEAVING, "the agent is leaving")
         self._rollouts.refuse_waiting(refusal)
-        self._drain_asked.set()
+        self._drain_requested.set()
 
     async def run(self) -> None:
-        """Serve until a planned stop is asked for, then stop in order."""
+        """Serve until a planned stop is requested, then drain and close."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.begin_drain)
         await self.node.start(self._server)
-        for part in (self._watcher, self._weights, self._owner):
-            self.node.spawn(part.run())
+        for component in (self._watcher, self._weights, self._owner):
+            self.node.spawn(component.run())
         _log.info("agent.started", address=self._settings.common.link_address)
-        await self._drain_asked.wait()
+        await self._drain_requested.wait()
         await self._drain()
 
     async def _drain(self) -> None:
-        """Finish what runs, hand the steps over, then close."""
+        """Hand the steps over, finish in-flight requests, then close."""
         await self._owner.hand_over()
         deadline_s = time.monotonic() + self._settings.drain_bound_s
         while self._is_busy() and time.monotonic() < deadline_s:
--- a/pistachioglade/agent/_rollouts.py
+++ b/pistachioglade/agent/_rollouts.py
@@ -1,4 +1,4 @@
-"""Makes samples: one at a time for each index, with the versions that made it."""
+"""Generates samples: one at a time for each index, with their weight versions."""
 
 from __future__ import annotations
 
@@ -38,50 +38,51 @@
 
 _log = logger(__name__)
 
-#: Time without a token after which a completion counts as lost.
+#: Time without a token after which a completion counts as lost, in seconds.
 _TOKEN_TIMEOUT_S: Final = 15.0
-#: Finished samples that are kept for owners that come back.
-_MAX_KEPT: Final = 4096
+#: Maximum number of finished samples kept for owners that ask again.
+_MAX_KEPT_SAMPLES: Final = 4096
 
 _Key = tuple[str, int, int]
 
 
 @attrs.define(eq=False)
-class _Making:
-    """A sample that is waiting or being made."""
+class _SampleRun:
+    """A sample that waits for a slot or is being generated."""
 
-    # What was asked.
+    # Request for the sample.
     message: Generate
     # Resolved with the sample or a refusal.
     result: asyncio.Future[Sample | Refusal]
-    # Set when nobody wants the sample any more.
+    # Set to stop the completion.
     stop: threading.Event = attrs.field(factory=threading.Event)
-    # Why it was stopped.
+    # Why the sample was cancelled; None while the sample is wanted.
     stop_reason: Refusal | None = None
-    # Place in the queue, while it waits.
+    # Entry in the queue while the sample waits for a slot.
     waiting: WaitingRollout | None = None
-    # Oldest version so far; None before the first token.
+    # Oldest weight version so far; None before the first token.
     oldest_version: int | None = None
-    # Tokens so far.
+    # Number of tokens so far.
     tokens: int = 0
-    # Tokens of the first event, which a prompt's reading comes before.
+    # Tokens of the first event, left out of the speed since that event follows the
+    # processing of the prompt.
     first_tokens: int = 0
-    # When the first event came.
+    # Monotonic time of the first event, in seconds.
     first_s: float = 0.0
-    # Whether it holds a slot.
+    # Whether the sample occupies a slot.
     is_running: bool = False
-    # Whether it was stopped to make room for a call.
+    # Whether the completion was stopped to free the slot for a call.
     is_preempted: bool = False
-    # Tokens that were made and lost by that.
+    # Tokens that were lost by preemption.
     preempted_tokens: int = 0
 
     def speed(self, end_s: float) -> float:
-        """Return the tokens a second after the first event."""
+        """Return the tokens per second after the first event."""
         spent_s = end_s - self.first_s
         return (self.tokens - self.first_tokens) / spent_s if spent_s > 0 else 0.0
 
-    def begin_again(self) -> None:
-        """Forget a run that was stopped to make room for a call."""
+    def reset(self) -> None:
+        """Reset the state of a preempted completion before the next start."""
         self.preempted_tokens += self.tokens
         self.tokens = 0
         self.oldest_version = None
@@ -90,7 +91,7 @@
 
 
 class RolloutRunner:
-    """The samples that this agent makes and has made."""
+    """The samples that this agent generates or has finished."""
 
     def __init__(
         self,
@@ -109,38 +110,38 @@
         self._executor = executor
         self._scorer = HttpSession(settings.scorer_url) if settings.scorer_url else None
         self._serial = count(1)
-        self._making: dict[_Key, _Making] = {}
+        self._runs: dict[_Key, _SampleRun] = {}
         self._kept: OrderedDict[_Key, tuple[float, Sample]] = OrderedDict()
         self._fences: dict[str, int] = defaultdict(int)
         self._paces: dict[str, VersionPace] = defaultdict(VersionPace)
-        self._known: dict[str, int] = {}
+        self._known_versions: dict[str, int] = {}
         self._duration_s: dict[str, float] = {}
         self.preempted_tokens = 0
-        scheduler.on_starved_call(self.preempt_youngest)
+        scheduler.set_preemption(self.preempt_youngest)
         node.board.follow(NEWEST, lambda _value: self._on_versions())
 
     def take_preempted_tokens(self) -> int:
-        """Return the tokens lost to calls that nobody was told of yet."""
+        """Return and reset the tokens lost by preemption since the last report."""
         lost, self.preempted_tokens = self.preempted_tokens, 0
         return lost
 
     def load(self) -> AgentLoad:
-        """Return the load that goes back with every answer."""
+        """Return the load that is reported with every answer."""
         _calls, running = self._slots.running()
         _queued_calls, queued = self._scheduler.queued()
         return AgentLoad(self._slots.rollout_slots(), running, queued)
 
     @property
     def running(self) -> int:
-        """How many samples wait or are being made."""
-        return len(self._making)
+        """The number of samples that wait or are being generated."""
+        return len(self._runs)
 
     def highest_fence(self, trainer: str) -> int:
-        """Return the highest fencing number seen for a trainer."""
+        """Return the highest fencing token seen for a trainer."""
         return self._fences[trainer]
 
     async def generate(self, message: Generate) -> Sample | Refusal:
-        """Make a sample, or join its making, or return the one that was made."""
+        """Generate a sample, join the run in progress, or return the kept sample."""
         if message.fence < self._fences[message.trainer]:
             reason = f"fence {message.fence} is below {self._fences[message.trainer]}"
             return refuse(ErrorKind.FENCED, reason)
@@ -149,16 +150,16 @@
         kept = self._kept_sample(key, message.min_version)
         if kept is not None:
             return kept
-        making = self._making.get(key)
-        if making is not None and making.stop_reason is None:
-            return await asyncio.shield(making.result)
+        run = self._runs.get(key)
+        if run is not None and run.stop_reason is None:
+            return await asyncio.shield(run.result)
         refusal = self._node.admission()
         if refusal is not None:
             return refusal
-        return await asyncio.shield(self._begin(key, message))
+        return await asyncio.shield(self._start(key, message))
 
     def _kept_sample(self, key: _Key, min_version: int) -> Sample | None:
-        self._forget_old()
+        self._drop_expired()
         found = self._kept.get(key)
         if found is None:
             return None
@@ -167,69 +168,69 @@
         del self._kept[key]
         return None
 
-    def _forget_old(self) -> None:
+    def _drop_expired(self) -> None:
         limit_s = time.monotonic() - self._settings.keep_samples_s
         while self._kept:
-            made_s, _sample = next(iter(self._kept.values()))
-            if made_s >= limit_s and len(self._kept) <= _MAX_KEPT:
+            finished_s, _sample = next(iter(self._kept.values()))
+            if finished_s >= limit_s and len(self._kept) <= _MAX_KEPT_SAMPLES:
                 return
             self._kept.popitem(last=False)
 
-    def _begin(self, key: _Key, message: Generate) -> asyncio.Future[Sample | Refusal]:
+    def _start(self, key: _Key, message: Generate) -> asyncio.Future[Sample | Refusal]:
         loop = asyncio.get_running_loop()
-        making = _Making(message, loop.create_future())
-        self._making[key] = making
-        self._node.spawn(self._make(key, making))
-        return making.result
+        run = _SampleRun(message, loop.create_future())
+        self._runs[key] = run
+        self._node.spawn(self._run_until_done(key, run))
+        return run.result
 
-    async def _make(self, key: _Key, making: _Making) -> None:
+    async def _run_until_done(self, key: _Key, run: _SampleRun) -> None:
         result: Sample | Refusal = refuse(ErrorKind.INTERNAL, "the rollout failed")
         try:
-            result = await self._queue_and_run(making)
-            while making.is_preempted and making.stop_reason is None:
-                making.begin_again()
-                result = await self._queue_and_run(making, is_again=True)
+            result = await self._queue_and_run(run)
+            while run.is_preempted and run.stop_reason is None:
+                run.reset()
+                result = await self._queue_and_run(run, is_again=True)
         finally:
-            if self._making.get(key) is making:
-                del self._making[key]
+            if self._runs.get(key) is run:
+                del self._runs[key]
             if isinstance(result, Sample):
                 self._kept[key] = (time.monotonic(), result)
-                self.preempted_tokens += making.preempted_tokens
-            making.result.set_result(result)
+                self.preempted_tokens += run.preempted_tokens
+            run.result.set_result(result)
 
     async def _queue_and_run(
-        self, making: _Making, is_again: bool = False
+        self, run: _SampleRun, is_again: bool = False
     ) -> Sample | Refusal:
-        message = making.message
+        message = run.message
         waiting = WaitingRollout(
             message.trainer,
             message.model,
             partial(self._min_version, message),
             asyncio.get_running_loop().create_future(),
         )
-        making.waiting = waiting
+        run.waiting = waiting
         refusal = None
         if is_again:
-            self._scheduler.add_again(waiting)
+            self._scheduler.requeue_rollout(waiting)
         else:
             refusal = self._scheduler.add_rollout(waiting)
         if refusal is not None:
             return refusal
         slot = await waiting.slot
-        making.waiting = None
+        run.waiting = None
         if isinstance(slot, Refusal):
             return slot
-        making.is_running = True
+        run.is_running = True
         try:
-            return await self._run(making, slot)
+            return await self._run_on_instance(run, slot)
         finally:
-            making.is_running = False
-            self._scheduler.release_rollout(slot, message.trainer, making.tokens)
+            run.is_running = False
+            self._scheduler.release_rollout(slot, message.trainer, run.tokens)
 
     def _min_version(self, message: Generate) -> int:
         """Return the oldest version that a sample may start with now.
 
-        Admission asks whether the sample would still be fresh when done.
+        Admission checks whether the sample would still be fresh when finished.
         """
         trainer = self._scheduler.config.trainer(message.trainer)
         if trainer is None:
@@ -252,8 +253,10 @@
         found = self._node.board.read(NEWEST).get(model)
         return found.version if found else 0
 
-    async def _run(self, making: _Making, instance: str) -> Sample | Refusal:
-        message = making.message
+    async def _run_on_instance(
+        self, run: _SampleRun, instance: str
+    ) -> Sample | Refusal:
+        message = run.message
         started_s = time.monotonic()
         request_id = (
             f"{message.trainer}/{message.step}/{message.index}/{next(self._serial)}"
@@ -271,36 +274,36 @@
                 traceparent,
             )
             client = self._clients[instance]
-            progress = partial(self._progress, making)
+            progress = partial(self._progress, run)
             work = partial(client.complete, request, _TOKEN_TIMEOUT_S, progress)
             loop = asyncio.get_running_loop()
             result = await loop.run_in_executor(self._executor, work)
         if isinstance(result, Refusal):
-            return await self._stopped(making, client, request_id, result)
-        speed = making.speed(time.monotonic())
-        self._note_duration(message.trainer, time.monotonic() - started_s)
+            return await self._cancel_on_instance(run, client, request_id, result)
+        speed = run.speed(time.monotonic())
+        self._record_duration(message.trainer, time.monotonic() - started_s)
         sample = await self._sample_of(message, instance, result)
         return attrs.evolve(sample, tokens_per_s=speed)
 
     @staticmethod
-    def _progress(making: _Making, version: int, tokens: int) -> bool:
-        """Count tokens; runs in the thread that reads the stream."""
-        known = making.oldest_version
-        making.oldest_version = version if known is None else min(known, version)
-        if making.tokens == 0:
-            making.first_tokens = tokens
-            making.first_s = time.monotonic()
-        making.tokens += tokens
-        return not making.stop.is_set()
-
-    async def _stopped(
-        self, making: _Making, client: InstanceClient, request_id: str, cause: Refusal
+    def _progress(run: _SampleRun, version: int, tokens: int) -> bool:
+        """Count the tokens of an event; runs in the thread that reads the stream."""
+        known = run.oldest_version
+        run.oldest_version = version if known is None else min(known, version)
+        if run.tokens == 0:
+            run.first_tokens = tokens
+            run.first_s = time.monotonic()
+        run.tokens += tokens
+        return not run.stop.is_set()
+
+    async def _cancel_on_instance(
+        self, run: _SampleRun, client: InstanceClient, request_id: str, cause: Refusal
     ) -> Refusal:
         await asyncio.to_thread(client.cancel, request_id)
-        self._node.metrics.count("rollout.wasted_tokens", making.tokens)
-        return making.stop_reason or cause
+        self._node.metrics.count("rollout.wasted_tokens", run.tokens)
+        return run.stop_reason or cause
 
-    def _note_duration(self, trainer: str, duration_s: float) -> None:
+    def _record_duration(self, trainer: str, duration_s: float) -> None:
         known_s = self._duration_s.get(trainer, duration_s)
         self._duration_s[trainer] = known_s + 0.2 * (duration_s - known_s)
 
@@ -329,65 +332,66 @@
         return float(reply.json()["score"])
 
     def _on_versions(self) -> None:
-        """Note the pace of versions and stop what can no longer be fresh."""
+        """Record the pace of versions and stop the samples that became too stale."""
         now_s = time.monotonic()
         for model, newest in self._node.board.read(NEWEST).items():
-            if newest.version > self._known.get(model, 0):
-                self._known[model] = newest.version
+            if newest.version > self._known_versions.get(model, 0):
+                self._known_versions[model] = newest.version
                 self._paces[model] = self._paces[model].published(now_s)
         if self._scheduler.is_fair:
-            for making in tuple(self._making.values()):
-                self._stop_if_stale(making)
+            for run in tuple(self._runs.values()):
+                self._stop_if_stale(run)
 
-    def _stop_if_stale(self, making: _Making) -> None:
-        trainer = self._scheduler.config.trainer(making.message.trainer)
-        oldest = making.oldest_version
+    def _stop_if_stale(self, run: _SampleRun) -> None:
+        trainer = self._scheduler.config.trainer(run.message.trainer)
+        oldest = run.oldest_version
         if trainer is None or oldest is None:
             return
-        newest = self._newest(making.message.model)
+        newest = self._newest(run.message.model)
         if not is_fresh(oldest, newest, trainer.staleness_bound_versions):
             reason = f"version {oldest} is too old beside {newest}"
-            self._stop(making, refuse(ErrorKind.TOO_STALE, reason))
+            self._stop(run, refuse(ErrorKind.TOO_STALE, reason))
 
-    def _stop(self, making: _Making, refusal: Refusal) -> None:
-        making.stop_reason = attrs.evolve(
+    def _stop(self, run: _SampleRun, refusal: Refusal) -> None:
+        run.stop_reason = attrs.evolve(
             refusal, execution=refuse(ErrorKind.CANCELLED, "").execution
         )
-        making.stop.set()
-        if making.waiting is not None:
-            self._scheduler.withdraw(making.waiting, refusal)
+        run.stop.set()
+        if run.waiting is not None:
+            self._scheduler.withdraw(run.waiting, refusal)
 
     def cancel(self, message: CancelGenerate) -> Refusal | None:
         """Stop one sample of a step, or all of them."""
         if message.fence < self._fences[message.trainer]:
             return refuse(ErrorKind.FENCED, "a later owner has taken over")
         refusal = refuse(ErrorKind.CANCELLED, "nobody waits for this sample")
-        for key, making in tuple(self._making.items()):
-            if _is_meant(message, key):
-                self._stop(making, refusal)
+        for key, run in tuple(self._runs.items()):
+            if _matches(message, key):
+                self._stop(run, refusal)
         return None
 
     def preempt_youngest(self) -> None:
         """Free the slot of the rollout that loses the fewest tokens.
 
-        A call must not wait for a rollout's end; the rollout starts again first.
+        A call must not wait for a rollout's end. The rollout is queued again ahead of
+        the others.
         """
         running = [
-            making
-            for making in self._making.values()
-            if making.is_running and not making.stop.is_set()
+            run
+            for run in self._runs.values()
+            if run.is_running and not run.stop.is_set()
         ]
         if running:
-            youngest = min(running, key=lambda making: making.tokens)
+            youngest = min(running, key=lambda run: run.tokens)
             youngest.is_preempted = True
             youngest.stop.set()
 
     def refuse_waiting(self, refusal: Refusal) -> None:
-        """Refuse what has not started, since the agent leaves."""
+        """Refuse the samples that have not started, since the agent is leaving."""
         self._scheduler.refuse_waiting(refusal)
 
 
-def _is_meant(message: CancelGenerate, key: _Key) -> bool:
+def _matches(message: CancelGenerate, key: _Key) -> bool:
     trainer, step, index = key
     same_step = (trainer, step) == (message.trainer, message.step)
     return same_step and message.index in (-1, index)
--- a/pistachioglade/agent/_scheduler.py
+++ b/pistachioglade/agent/_scheduler.py
@@ -1,4 +1,4 @@
-"""Hands the agent's slots out: calls first, then rollouts by their shares."""
+"""Assigns the agent's slots: calls first, then rollouts by trainer shares."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 class WaitingCall:
     """A call that waits for a slot."""
 
-    # When its caller gives up.
+    # Monotonic time at which the caller stops waiting, in seconds.
     deadline_s: float
     # Resolved with the instance's name or a refusal.
     slot: asyncio.Future[str | Refusal]
@@ -32,18 +32,18 @@
 class WaitingRollout:
     """A rollout that waits for a slot."""
 
-    # Trainer that it is for.
+    # Trainer that requested the rollout.
     trainer: str
-    # Model that it needs.
+    # Model that generates the rollout.
     model: str
-    # Returns the oldest version that it may start with now.
+    # Returns the oldest weight version that the rollout may start with now.
     min_version: Callable[[], int]
     # Resolved with the instance's name or a refusal.
     slot: asyncio.Future[str | Refusal]
 
 
 class Scheduler:
-    """The queues in front of the slots."""
+    """The queues of calls and rollouts that wait for slots."""
 
     def __init__(self, upstream: str, board: Blackboard, slots: SlotTable) -> None:
         self._upstream = upstream
@@ -51,14 +51,14 @@
         self._slots = slots
         self._calls: deque[WaitingCall] = deque()
         self.rollouts: FairQueue[WaitingRollout] = FairQueue({})
-        self._in_order: deque[WaitingRollout] = deque()
+        self._fifo_rollouts: deque[WaitingRollout] = deque()
         self._preempt: Callable[[], None] = lambda: None
-        board.follow(INSTANCES, lambda _value: self.pump())
-        board.follow(CONFIG, lambda _value: self.pump())
-        board.follow(NEWEST, lambda _value: self.pump())
+        board.follow(INSTANCES, lambda _value: self.assign_slots())
+        board.follow(CONFIG, lambda _value: self.assign_slots())
+        board.follow(NEWEST, lambda _value: self.assign_slots())
 
-    def on_starved_call(self, preempt: Callable[[], None]) -> None:
-        """Name what frees a slot when a call finds none."""
+    def set_preemption(self, preempt: Callable[[], None]) -> None:
+        """Set the function that frees a slot for a call that finds none."""
         self._preempt = preempt
 
     @property
@@ -73,12 +73,12 @@
 
     @property
     def is_fair(self) -> bool:
-        """Whether the fair policy is in force, not the baseline."""
+        """Whether the fair policy is in force instead of the baseline policy."""
         return self.config.policy.name == "fair"
 
     def queued(self) -> tuple[int, int]:
         """Return how many calls and rollouts wait."""
-        return len(self._calls), len(self.rollouts) + len(self._in_order)
+        return len(self._calls), len(self.rollouts) + len(self._fifo_rollouts)
 
     def _usable(self) -> list[str]:
         return [
@@ -87,8 +87,8 @@
             if view.healthy and not view.leaving
         ]
 
-    async def call_slot(self, budget_s: float) -> str | Refusal:
-        """Wait for a slot for a call; a refusal means that it did not run."""
+    async def wait_for_call_slot(self, budget_s: float) -> str | Refusal:
+        """Wait for a call's slot; a refusal means that the call did not run."""
         limits = self.limits
         if limits is None:
             return refuse(ErrorKind.NO_UPSTREAM, "the upstream is not declared")
@@ -98,16 +98,16 @@
             return refuse(ErrorKind.OVERLOADED, "the agent's queue of calls is full")
         waiting = WaitingCall(time.monotonic() + budget_s, _future())
         self._calls.append(waiting)
-        self.pump()
+        self.assign_slots()
         if self.is_fair and not waiting.slot.done():
             self._preempt()
         try:
             async with asyncio.timeout(budget_s):
                 return await asyncio.shield(waiting.slot)
         except TimeoutError:
-            return self._give_up(waiting)
+            return self._end_wait(waiting)
 
-    def _give_up(self, waiting: WaitingCall) -> str | Refusal:
+    def _end_wait(self, waiting: WaitingCall) -> str | Refusal:
         if waiting.slot.done():
             return waiting.slot.result()
         self._calls.remove(waiting)
@@ -115,17 +115,17 @@
         return refuse(ErrorKind.DEADLINE_UNREACHABLE, reason)
 
     def release_call(self, instance: str) -> None:
-        """Give a call's slot back."""
+        """Free a call's slot."""
         self._slots.release_call(instance)
-        self.pump()
+        self.assign_slots()
 
-    def add_again(self, waiting: WaitingRollout) -> None:
-        """Queue a rollout that lost its slot to a call, before the others."""
+    def requeue_rollout(self, waiting: WaitingRollout) -> None:
+        """Queue a rollout that a call preempted at the front of the queue."""
         self.rollouts.push_front(waiting.trainer, waiting)
-        self.pump()
+        self.assign_slots()
 
     def add_rollout(self, waiting: WaitingRollout) -> Refusal | None:
-        """Queue a rollout, or say why not."""
+        """Queue a rollout; return a refusal if it can't be queued."""
         limits = self.limits
         if limits is None:
             return refuse(ErrorKind.NO_UPSTREAM, "the upstream is not declared")
@@ -136,39 +136,39 @@
         if self.is_fair:
             self.rollouts.push(waiting.trainer, waiting)
         else:
-            self._in_order.append(waiting)
-        self.pump()
+            self._fifo_rollouts.append(waiting)
+        self.assign_slots()
         return None
 
     def release_rollout(self, instance: str, trainer: str, tokens: int) -> None:
-        """Give a rollout's slot back and settle its tokens."""
+        """Free a rollout's slot and charge its tokens to the trainer."""
         self._slots.release_rollout(instance)
         self.rollouts.finished(trainer, tokens)
-        self.pump()
+        self.assign_slots()
 
     def withdraw(self, waiting: WaitingRollout, refusal: Refusal) -> None:
-        """Take a rollout out of the queue, if it still waits."""
+        """Remove a rollout from the queue and refuse it, if it still waits."""
         self.rollouts.remove_if(lambda item: item is waiting)
-        if waiting in self._in_order:
-            self._in_order.remove(waiting)
+        if waiting in self._fifo_rollouts:
+            self._fifo_rollouts.remove(waiting)
         if not waiting.slot.done():
             waiting.slot.set_result(refusal)
 
     def refuse_waiting(self, refusal: Refusal) -> None:
         """Refuse every rollout that still waits."""
-        waiting = (*self.rollouts.remove_if(lambda _item: True), *self._in_order)
-        self._in_order.clear()
+        waiting = (*self.rollouts.remove_if(lambda _item: True), *self._fifo_rollouts)
+        self._fifo_rollouts.clear()
         for item in waiting:
             item.slot.set_result(refusal)
 
     def _refuse_all(self, refusal: Refusal) -> None:
-        """Refuse all that waits: it may run elsewhere, and here it can't."""
+        """Refuse all waiting requests: no instance here can run them, others may."""
         while self._calls:
             self._calls.popleft().slot.set_result(refusal)
         self.refuse_waiting(refusal)
 
-    def pump(self) -> None:
-        """Give free slots out."""
+    def assign_slots(self) -> None:
+        """Assign free slots to waiting calls and rollouts."""
         limits = self.limits
         if limits is not None:
             self._slots.reserved = limits.reserved_slots if self.is_fair else 0
@@ -176,13 +176,13 @@
         if not self._usable():
             self._refuse_all(_no_instance())
             return
-        self._pump_calls()
+        self._assign_calls()
         if self.is_fair:
-            self._pump_fair()
+            self._assign_fair()
         else:
-            self._pump_in_order()
+            self._assign_fifo()
 
-    def _pump_calls(self) -> None:
+    def _assign_calls(self) -> None:
         now_s = time.monotonic()
         while self._calls:
             if self._calls[0].deadline_s <= now_s:
@@ -191,31 +191,31 @@
                     refuse(ErrorKind.DEADLINE_UNREACHABLE, "its deadline has passed")
                 )
                 continue
-            name = self._slots.take_call(self._usable())
+            name = self._slots.occupy_call_slot(self._usable())
             if name is None:
                 return
             self._calls.popleft().slot.set_result(name)
 
-    def _pump_fair(self) -> None:
+    def _assign_fair(self) -> None:
         while self._start_fair():
             pass
 
     def _start_fair(self) -> bool:
-        """Start one rollout; trainers that no instance is fresh for are passed."""
+        """Start one rollout; skip trainers for which no instance is fresh enough."""
         for trainer in self.rollouts.backlogged():
             waiting = self.rollouts.peek(trainer)
-            name = self._slots.take_rollout(self._fresh_instances(waiting))
+            name = self._slots.occupy_rollout_slot(self._fresh_instances(waiting))
             if name is not None:
                 self.rollouts.pop(trainer).slot.set_result(name)
                 return True
         return False
 
-    def _pump_in_order(self) -> None:
-        while self._in_order:
-            name = self._slots.take_rollout(self._usable())
+    def _assign_fifo(self) -> None:
+        while self._fifo_rollouts:
+            name = self._slots.occupy_rollout_slot(self._usable())
             if name is None:
                 return
-            waiting = self._in_order.popleft()
+            waiting = self._fifo_rollouts.popleft()
             self.rollouts.started(waiting.trainer)
             waiting.slot.set_result(name)
 
--- a/pistachioglade/agent/_slots.py
+++ b/pistachioglade/agent/_slots.py
@@ -1,7 +1,7 @@
-"""Which instance runs the next request, within its slots.
+"""Chooses the instance that runs the next request, within its slots.
 
-Rollouts leave ``reserved`` slots of each instance free, so that a call finds
-one at once; calls may use every slot that rollouts don't.
+Rollouts leave ``reserved`` slots of each instance free, so that a call gets a
+slot at once; calls may use every slot that no rollout occupies.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 @attrs.define
 class _Usage:
-    # Requests that the instance takes at once.
+    # Requests that the instance runs at the same time.
     limit: int
-    # Calls that run there.
+    # Calls that run on the instance.
     calls: int = 0
-    # Rollouts that run there.
+    # Rollouts that run on the instance.
     rollouts: int = 0
 
     @property
@@ -46,34 +46,36 @@
         rollouts = sum(usage.rollouts for usage in self._usage.values())
         return calls, rollouts
 
-    def take_call(self, usable: Iterable[str]) -> str | None:
+    def occupy_call_slot(self, usable: Iterable[str]) -> str | None:
         """Occupy a slot for a call and return its instance."""
-        name = self._freest(usable)
+        name = self._choose_freest(usable)
         if name is not None:
             self._usage[name].calls += 1
         return name
 
-    def take_rollout(self, usable: Iterable[str]) -> str | None:
+    def occupy_rollout_slot(self, usable: Iterable[str]) -> str | None:
         """Occupy a slot for a rollout and return its instance."""
-        room = [name for name in usable if self._has_rollout_room(self._usage[name])]
-        name = self._freest(room)
+        candidates = [
+            name for name in usable if self._has_free_rollout_slot(self._usage[name])
+        ]
+        name = self._choose_freest(candidates)
         if name is not None:
             self._usage[name].rollouts += 1
         return name
 
-    def _has_rollout_room(self, usage: _Usage) -> bool:
+    def _has_free_rollout_slot(self, usage: _Usage) -> bool:
         return usage.rollouts < max(1, usage.limit - self.reserved)
 
-    def _freest(self, names: Iterable[str]) -> str | None:
+    def _choose_freest(self, names: Iterable[str]) -> str | None:
         free = [name for name in names if self._usage[name].free > 0]
         if not free:
             return None
         return max(free, key=lambda name: (self._usage[name].free, name))
 
     def release_call(self, name: str) -> None:
-        """Give a call's slot back."""
+        """Free the slot of a call on an instance."""
         self._usage[name].calls -= 1
 
     def release_rollout(self, name: str) -> None:
-        """Give a rollout's slot back."""
+        """Free the slot of a rollout on an instance."""
         self._usage[name].rollouts -= 1
--- a/pistachioglade/agent/_step_run.py
+++ b/pistachioglade/agent/_step_run.py
@@ -1,4 +1,4 @@
-"""One open step at its owner: starts samples, gives them out, keeps the record."""
+"""One open step at its owner: starts and delivers samples, updates the record."""
 
 from __future__ import annotations
 
@@ -43,12 +43,12 @@
 _TICK_S: Final = 0.25
 _GENERATE_TIMEOUT_S: Final = 1700.0
 _CANCEL_TIMEOUT_S: Final = 2.0
-#: Pause before an agent that refused is asked again, if it named none.
-_REST_S: Final = 0.5
+#: Cooldown of an agent that refused without a retry time, in seconds.
+_DEFAULT_COOLDOWN_S: Final = 0.5
 
 
 def step_policy(policy: Policy, share_percent: int) -> StepPolicy:
-    """Return how a trainer's steps are run under a declared policy."""
+    """Return the step policy of a trainer under a declared policy."""
     if policy.name != "fair":
         placement = PlacementPolicy(group_affinity=False, backlog_factor=1.5)
         return StepPolicy(placement, longest_first=False, hedge_part=0.0)
@@ -60,7 +60,7 @@
 
 
 class StepRun:
-    """The owner's side of one step."""
+    """The state of one open step at its owner."""
 
     def __init__(
         self,
@@ -96,37 +96,38 @@
         self._wake = node.board.signal(MEMBERS, NEWEST)
         self._changed = asyncio.Event()
         self._closed = False
-        # A step that was open here before is counted on: its record is written anew.
+        # The counts of a step that was open here before are continued, since the new
+        # record replaces the earlier record.
         counts = ledger.counts(message.trainer, message.step)
         self._refusals: Counter[str] = Counter(counts.refusals)
-        # Times that the making of a sample ended in a fault of the program, by index.
-        self._faults: Counter[int] = Counter()
-        # Why the step can't be made whole; None as long as it may.
-        self._hopeless: Refusal | None = None
+        # Number of internal errors of each sample, by index.
+        self._internal_errors: Counter[int] = Counter()
+        # Why the step can't be completed; None while the step may be completed.
+        self._final_refusal: Refusal | None = None
         self._wasted_tokens: Counter[str] = Counter(counts.wasted_tokens)
-        self._note_record()
+        self._update_record()
         self._task = node.spawn(self._run())
 
     @property
     def step(self) -> int:
-        """Number of the step."""
+        """The number of the step."""
         return self._message.step
 
     def adopt_receipts(self, message: OpenStep) -> None:
-        """Take the receipts of a trainer that opens the step again."""
+        """Replace the receipts when a trainer opens the step again."""
         self._client_id = message.client_id
         self._newest_version = max(self._newest_version, message.newest_version)
         for index in self.plan.restore(message.receipts):
             self._cancel_everywhere(index)
-        self._note_record()
-        self._note_change()
+        self._update_record()
+        self._signal_change()
 
     def close(self) -> None:
-        """Start nothing more and wake those who wait."""
+        """Start no more samples and wake the waiting requests."""
         self._closed = True
-        self._note_change()
+        self._signal_change()
 
-    def _note_change(self) -> None:
+    def _signal_change(self) -> None:
         self._wake.set()
         self._changed.set()
         self._changed = asyncio.Event()
@@ -138,7 +139,7 @@
     async def _run(self) -> None:
         while not self._closed:
             self._wake.clear()
-            self._drop_dead_agents()
+            self._release_dead_agents()
             self._drop_stale()
             self._start_samples()
             try:
@@ -147,8 +148,8 @@
             except TimeoutError:
                 continue
 
-    def _drop_dead_agents(self) -> None:
-        """Start elsewhere what a suspected or dead agent was making."""
+    def _release_dead_agents(self) -> None:
+        """Release the samples of suspected or dead agents, to start them elsewhere."""
         members = self._node.board.read(MEMBERS)
         for agent in self.plan.outstanding():
             member = members.get(agent)
@@ -159,7 +160,7 @@
                 for index in self.plan.running_at(agent):
                     self.plan.fail(agent, index)
 
-    def _newest(self, trainer: Trainer) -> int:
+    def _update_newest_version(self, trainer: Trainer) -> int:
         published = self._node.board.read(NEWEST).get(trainer.model)
         known = published.version if published else 0
         self._newest_version = max(self._newest_version, known)
@@ -170,22 +171,24 @@
         if trainer is None:
             return
         bound = trainer.staleness_bound_versions
-        self._note_waste(self.plan.drop_stale(self._newest(trainer), bound))
+        self._count_waste(
+            self.plan.drop_stale(self._update_newest_version(trainer), bound)
+        )
 
-    def _note_waste(self, samples: tuple[Sample, ...]) -> None:
+    def _count_waste(self, samples: tuple[Sample, ...]) -> None:
         for sample in samples:
             self._wasted_tokens[ErrorKind.TOO_STALE.value] += sample.token_count
 
     def _is_held(self, trainer: Trainer) -> bool:
-        """Return whether the step still waits for weights that are about to come."""
+        """Return whether the step still waits for weights that are expected soon."""
         is_early = time.monotonic() < self._hold_until_s
-        return is_early and self._newest(trainer) <= self._hold_version
+        return is_early and self._update_newest_version(trainer) <= self._hold_version
 
     def _start_samples(self) -> None:
         trainer = self._trainer()
         if trainer is None or not self._may_start(self.step):
             return
-        if self._hopeless is not None:
+        if self._final_refusal is not None:
             return
         if self._is_held(trainer):
             return
@@ -200,13 +203,13 @@
             dispatch = self.plan.next_dispatch(views, now_s)
             if dispatch is None:
                 return
-            self._loads.sent(dispatch.agent)
+            self._loads.record_sent(dispatch.agent)
             address = agents[dispatch.agent].address
             self._node.spawn(self._generate(dispatch, address, trainer))
 
     def _request(self, dispatch: Dispatch, trainer: Trainer) -> Generate:
         message = self._message
-        oldest = self._newest(trainer) - trainer.staleness_bound_versions
+        oldest = self._update_newest_version(trainer) - trainer.staleness_bound_versions
         seed = stable_hash(trainer.name, str(self.step), str(dispatch.index)) >> 33
         return Generate(
             trainer=trainer.name,
@@ -232,16 +235,16 @@
                 self._request(dispatch, trainer), traceparent=traceparent
             )
             answer = await self._node.pool.call(address, request, _GENERATE_TIMEOUT_S)
-        self._loads.returned(agent)
+        self._loads.record_returned(agent)
         if isinstance(answer, Generated) and answer.sample is not None:
-            self._loads.report(agent, answer.load)
+            self._loads.record_report(agent, answer.load)
             if answer.preempted_tokens:
                 self._wasted_tokens["preempted"] += answer.preempted_tokens
             self._finish(agent, answer.sample)
         else:
             refusal = answer if isinstance(answer, Refusal) else _no_sample()
             self._fail(agent, dispatch.index, refusal)
-        self._note_change()
+        self._signal_change()
 
     def _finish(self, agent: str, sample: Sample) -> None:
         if self.plan.has_copy(sample.index):
@@ -257,17 +260,19 @@
         self._refusals[refusal.kind.value] += 1
         _log.info("sample.failed", index=index, agent=agent, reason=refusal.reason)
         if refusal.kind is ErrorKind.INTERNAL:
-            self._note_fault(index, refusal)
+            self._count_internal_error(index, refusal)
         if refusal.kind is not ErrorKind.TOO_STALE:
-            rest_s = refusal.retry_after_s or _REST_S
-            self._loads.rest(agent, time.monotonic() + rest_s)
-
-    def _note_fault(self, index: int, refusal: Refusal) -> None:
-        self._faults[index] += 1
-        if self._hopeless is None and is_sample_hopeless(self._faults[index]):
+            cooldown_s = refusal.retry_after_s or _DEFAULT_COOLDOWN_S
+            self._loads.start_cooldown(agent, time.monotonic() + cooldown_s)
+
+    def _count_internal_error(self, index: int, refusal: Refusal) -> None:
+        self._internal_errors[index] += 1
+        if self._final_refusal is None and is_sample_hopeless(
+            self._internal_errors[index]
+        ):
             reason = f"sample {index} can't be made: {refusal.reason}"
-            _log.error("step.hopeless", step=self.step, index=index, reason=reason)
-            self._hopeless = refuse(ErrorKind.INTERNAL, reason)
+            _log.error("step.failed", step=self.step, index=index, reason=reason)
+            self._final_refusal = refuse(ErrorKind.INTERNAL, reason)
 
     def _cancel(self, agent: str, index: int) -> None:
         member = self._node.board.read(MEMBERS).get(agent)
@@ -286,11 +291,11 @@
         for index in self.plan.receive(receipts):
             self._cancel_everywhere(index)
         if receipts:
-            self._note_record()
-            self._note_change()
+            self._update_record()
+            self._signal_change()
 
-    def _note_record(self) -> None:
-        self._ledger.note(
+    def _update_record(self) -> None:
+        self._ledger.put_record(
             StepRecord(
                 trainer=self._message.trainer,
                 step=self.step,
@@ -304,11 +309,11 @@
         )
 
     async def fetch(self, message: FetchSamples) -> SampleBatch | Refusal:
-        """Give out what the trainer lacks, waiting for the first sample.
+        """Return samples that the trainer lacks; wait until the first is ready.
 
-        Receipts count only from the client that opened the step last: one that was
-        killed may have taken samples that its successor's checkpoint lacks, and a late
-        request of it would keep those from the successor for ever.
+        Receipts count only from the client that opened the step last. A killed client
+        may have taken samples that are missing from its successor's checkpoint; with
+        its late receipts, the successor would never get those samples.
         """
         if message.client_id != self._client_id:
             reason = f"step {self.step} was opened by another client; open it again"
@@ -316,9 +321,9 @@
             return refuse(ErrorKind.UNKNOWN_STEP, reason)
         self._newest_version = max(self._newest_version, message.newest_version)
         self._receive(message.receipts)
-        self._note_waste(self.plan.reject(message.rejected))
+        self._count_waste(self.plan.reject(message.rejected))
         if message.rejected:
-            self._note_change()
+            self._signal_change()
         deadline_s = time.monotonic() + message.wait_s
         while True:
             self._drop_stale()
@@ -326,8 +331,8 @@
             is_over = self._closed or time.monotonic() >= deadline_s
             if samples or self.plan.is_complete:
                 return self._batch(samples)
-            if self._hopeless is not None and not self.plan.has_running:
-                return self._hopeless
+            if self._final_refusal is not None and not self.plan.has_running:
+                return self._final_refusal
             if is_over:
                 return self._batch(samples)
             await self._next_change(deadline_s)
--- a/pistachioglade/agent/_upstream.py
+++ b/pistachioglade/agent/_upstream.py
@@ -1,8 +1,8 @@
-"""HTTP to one instance: whole answers, streamed completions, orders.
+"""HTTP client of one instance: complete answers, streamed completions, orders.
 
-Blocking; the agent runs these functions in threads. An answer passes as whole
-only if its length was announced and kept, it is JSON, and it carries the id of
-its own request wherever the instance returns one.
+The functions block; the agent runs them in threads. An answer counts as complete
+only if its length was announced and matches, its body is JSON, and it carries the
+id of its own request wherever the instance returns an id.
 """
 
 from __future__ import annotations
@@ -23,36 +23,36 @@
 _CANCEL_TIMEOUT_S: Final = 1.0
 _READ_BYTES: Final = 8192
 _DONE: Final = "[DONE]"
-#: Priorities that engines honour; lower goes first.
+#: Priorities that engines honour; a lower number runs first.
 CALL_PRIORITY: Final = 0
 ROLLOUT_PRIORITY: Final = 10
 
 
 @attrs.frozen
 class Completion:
-    """A whole completion."""
+    """A complete completion."""
 
     # Generated text.
     text: str
-    # Versions that made it, in token order.
+    # Weight versions that generated the text, in token order.
     spans: tuple[VersionSpan, ...]
 
 
 @attrs.frozen
 class CompletionRequest:
-    """What is asked of an engine."""
+    """The request for a completion that is sent to an engine."""
 
-    # Unique id, for cancelling and for the engine's records.
+    # Unique id, used to cancel the request and in the engine's records.
     request_id: str
     # Model to use.
     model: str
     # Prompt text.
     prompt: str
-    # Most tokens.
+    # Maximum number of tokens.
     max_tokens: int
     # Seed of the sampler.
     seed: int
-    # Priority; lower goes first.
+    # Priority; a lower number runs first.
     priority: int
     # W3C trace context.
     traceparent: str = ""
@@ -63,23 +63,23 @@
         return json.dumps(fields).encode()
 
 
-#: Takes the version and the number of tokens of one event; False stops it.
+#: Receives the version and the token count of one event; False stops the completion.
 Progress = Callable[[int, int], bool]
 
 
 @attrs.define
 class _Assembly:
-    """A completion that is still arriving."""
+    """The events of a completion that is still being received."""
 
-    # Pieces of text.
+    # Text of each event.
     pieces: list[str] = attrs.field(factory=list)
-    # Version and token count, by run of the same version.
+    # Version and token count of each run of tokens with the same version.
     runs: list[list[int]] = attrs.field(factory=list)
-    # Token count that the engine gave at the end.
+    # Token count in the final event; None before that event.
     announced_tokens: int | None = None
 
     def add(self, event: dict[str, Any]) -> tuple[int, int]:
-        """Take one event in; return its version and token count."""
+        """Add one event; return its version and token count."""
         choice = event["choices"][0]
         version, tokens = int(event["model_version"]), int(event["token_count"])
         self.pieces.append(choice["text"])
@@ -92,7 +92,7 @@
         return version, tokens
 
     def finish(self, saw_done: bool) -> Completion | Refusal:
-        """Return the completion if nothing of it is missing."""
+        """Return the completion, or a refusal if a part of it is missing."""
         tokens = sum(count for _version, count in self.runs)
         if not saw_done or self.announced_tokens != tokens or not tokens:
             reason = f"completion ended after {tokens} tokens"
@@ -115,7 +115,7 @@
         timeout_s: float,
         traceparent: str,
     ) -> HttpReply | Refusal:
-        """Run one operation of a plain service and return the whole answer."""
+        """Run one operation of a plain service and return the complete answer."""
         headers = {
             "Content-Type": "application/json",
             "X-Request-Id": request_id,
@@ -126,12 +126,12 @@
         )
         if isinstance(reply, Refusal):
             return _call_refusal(reply)
-        return _whole_reply(reply, request_id)
+        return _check_reply(reply, request_id)
 
     def complete(
         self, request: CompletionRequest, timeout_s: float, progress: Progress
     ) -> Completion | Refusal:
-        """Stream a completion; return it whole."""
+        """Stream a completion; return it once it is complete."""
         reply = self._http.stream("/v1/completions", request.body(), timeout_s)
         if isinstance(reply, Refusal):
             return _call_refusal(reply)
@@ -148,21 +148,21 @@
             reply.close()
 
     def cancel(self, request_id: str) -> None:
-        """Tell the engine that nobody waits for a request."""
+        """Cancel a request at the engine."""
         body = json.dumps({"request_id": request_id}).encode()
         self._http.request("POST", "/cancel", _CANCEL_TIMEOUT_S, body)
 
     def send_weights(
         self, model: str, version: int, offset: int, data: bytes
     ) -> HttpReply | Refusal:
-        """Hand a piece of weights to the engine."""
+        """Send one chunk of weights to the engine."""
         path = f"/weights/{model}/{version}?offset={offset}"
         return self._http.request("PUT", path, _ORDER_TIMEOUT_S, data)
 
     def order_version(
         self, model: str, version: int, digest: str, fence: int
     ) -> HttpReply | Refusal:
-        """Order the engine to use a version that it was sent."""
+        """Order the engine to use a version whose weights it has received."""
         fields = {
             "model": model,
             "version": version,
@@ -180,13 +180,13 @@
 
 
 def _engine_refusal(status: int) -> Refusal:
-    """Engines answer 503 before they start a request, and nothing else does."""
+    """Translate an error status; engines send 503 only before a request starts."""
     if status == 503:
         return refuse(ErrorKind.OVERLOADED, "the engine takes no more requests")
     return refuse(ErrorKind.UPSTREAM_REJECTED, f"engine answered {status}")
 
 
-def _whole_reply(reply: HttpReply, request_id: str) -> HttpReply | Refusal:
+def _check_reply(reply: HttpReply, request_id: str) -> HttpReply | Refusal:
     framed = "content-length" in reply.headers or (
         reply.headers.get("transfer-encoding") == "chunked"
     )
@@ -217,9 +217,9 @@
 
 def _events(reply: urllib3.BaseHTTPResponse) -> Iterator[str]:
     """Yield the data of each server-sent event."""
-    rest = b""
+    remainder = b""
     for chunk in reply.stream(_READ_BYTES):
-        *lines, rest = (rest + chunk).split(b"\n")
+        *lines, remainder = (remainder + chunk).split(b"\n")
         for line in lines:
             if line.startswith(b"data: "):
                 yield line.removeprefix(b"data: ").strip().decode()
--- a/pistachioglade/agent/_weights.py
+++ b/pistachioglade/agent/_weights.py
@@ -1,8 +1,8 @@
-"""Brings new weights to the instances: from peers along a tree, or the store.
+"""Distributes new weights to the instances: from peers along a tree, or the store.
 
-An instance's version is what the instance says. The controller compares that
-with the newest publication after each look, so a lost, refused or late order is
-put right by the next round.
+The version of an instance is the version that the instance reports. The controller
+compares that version with the newest publication after each state poll, so the
+next round corrects a lost, refused or late order.
 """
 
 from __future__ import annotations
@@ -30,25 +30,25 @@
 _CHUNK_WAIT_S: Final = 3.0
 _CHUNK_TIMEOUT_S: Final = 5.0
 _RETRY_PAUSE_S: Final = 0.3
-#: Time within which the waves over all failure domains have to start.
+#: Time within which the waves over all failure domains have to start, in seconds.
 _WAVES_BOUND_S: Final = 6.0
 _FIRST_SWAP_S: Final = 0.5
 
 
 @attrs.define(eq=False)
 class _Transfer:
-    """The weights of one version, as far as they are here."""
+    """The chunks of one version's weights that this agent has."""
 
     # The publication.
     target: ModelVersion
     # Chunks by number.
     chunks: dict[int, bytes] = attrs.field(factory=dict)
-    # Whether all chunks are here and the digest is right.
-    is_whole: bool = False
+    # Whether all chunks are present and the digest matches.
+    is_complete: bool = False
 
     @property
     def chunk_count(self) -> int:
-        """How many chunks the weights have."""
+        """The number of chunks of the weights."""
         return max(1, -(-self.target.size_bytes // CHUNK_BYTES))
 
     def digest(self) -> str:
@@ -60,7 +60,7 @@
 
 
 class WeightController:
-    """Keeps the instances of one agent on the newest versions."""
+    """Updates the instances of one agent to the newest versions."""
 
     def __init__(
         self,
@@ -84,19 +84,21 @@
         self._sent: dict[str, set[tuple[str, int]]] = {}
 
     async def run(self) -> None:
-        """Follow publications for as long as the process runs."""
+        """Apply publications to the instances until cancelled."""
         signal = self._node.board.signal(NEWEST, CONFIG, INSTANCES)
         while True:
             signal.clear()
-            wanted = self._wanted()
-            await asyncio.gather(*(self._bring(*item) for item in wanted.items()))
+            wanted = self._wanted_versions()
+            await asyncio.gather(
+                *(self._update_instances(*item) for item in wanted.items())
+            )
             if self._is_settled():
                 await signal.wait()
             else:
                 await asyncio.sleep(_RETRY_PAUSE_S)
 
-    def _wanted(self) -> dict[str, ModelVersion]:
-        """Return the newest version of each model that trainers use here."""
+    def _wanted_versions(self) -> dict[str, ModelVersion]:
+        """Return the newest version of each model that this upstream's trainers use."""
         config = self._node.board.read(CONFIG)
         newest = self._node.board.read(NEWEST)
         if config is None or self._store is None:
@@ -111,7 +113,7 @@
         }
         return {model: newest[model] for model in sorted(models & set(newest))}
 
-    def _behind(self, model: str, version: int) -> list[str]:
+    def _outdated_instances(self, model: str, version: int) -> list[str]:
         return [
             view.name
             for view in self._node.board.read(INSTANCES).values()
@@ -120,23 +122,23 @@
 
     def _is_settled(self) -> bool:
         return not any(
-            self._behind(model, target.version)
-            for model, target in self._wanted().items()
+            self._outdated_instances(model, target.version)
+            for model, target in self._wanted_versions().items()
         )
 
-    async def _bring(self, model: str, target: ModelVersion) -> None:
-        if not self._behind(model, target.version):
+    async def _update_instances(self, model: str, target: ModelVersion) -> None:
+        if not self._outdated_instances(model, target.version):
             return
         transfer = self._transfers.get(model)
         if transfer is None or transfer.target != target:
             transfer = _Transfer(target)
             self._transfers[model] = transfer
-        if not transfer.is_whole and not await self._fetch(model, transfer):
+        if not transfer.is_complete and not await self._fetch(model, transfer):
             return
         await self._swap_in_turn(model, target)
 
     async def _fetch(self, model: str, transfer: _Transfer) -> bool:
-        """Copy what is missing; False if it has to be tried again."""
+        """Copy the missing chunks; return False if the fetch has to be repeated."""
         for number in range(transfer.chunk_count):
             if number not in transfer.chunks:
                 data = await self._fetch_chunk(model, transfer.target.version, number)
@@ -144,14 +146,14 @@
                     _log.info("weights.chunk_missing", reason=data.reason)
                     return False
                 transfer.chunks[number] = data
-                self._note_arrival()
+                self._signal_arrival()
             if self._transfers.get(model) is not transfer:
                 return False
         if transfer.digest() != transfer.target.digest:
             _log.warning("weights.digest_wrong", model=model)
             transfer.chunks.clear()
             return False
-        transfer.is_whole = True
+        transfer.is_complete = True
         return True
 
     async def _fetch_chunk(
@@ -171,7 +173,7 @@
         return await asyncio.to_thread(self._store.chunk, model, version, number)
 
     async def answer_chunk(self, message: FetchChunk) -> ChunkData | Refusal:
-        """Give a peer a chunk, waiting a little for it to arrive here."""
+        """Return a chunk to a peer; wait up to ``wait_s`` for the chunk to arrive."""
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + message.wait_s
         while True:
@@ -192,8 +194,8 @@
         except TimeoutError:
             return
 
-    def _note_arrival(self) -> None:
-        """Wake the peers that wait for a chunk."""
+    def _signal_arrival(self) -> None:
+        """Wake the requests of peers that wait for a chunk."""
         self._arrived.set()
         self._arrived = asyncio.Event()
 
@@ -206,13 +208,13 @@
         ]
         own = self._node.settings.domain
         await asyncio.sleep(wave_delay_s(own, domains, self._swap_s, _WAVES_BOUND_S))
-        for name in self._behind(model, target.version):
+        for name in self._outdated_instances(model, target.version):
             await self._swap(name, model, target)
 
     async def _swap(self, name: str, model: str, target: ModelVersion) -> None:
         loop = asyncio.get_running_loop()
         started_s = loop.time()
-        if not await self._send(name, model, target):
+        if not await self._send_weights(name, model, target):
             return
         snapshot = self._node.board.read(ROOT)
         fence = snapshot.root.generation if snapshot else 0
@@ -223,7 +225,7 @@
             target.digest,
             fence,
         )
-        view = await self._watcher.look(name)
+        view = await self._watcher.read_state(name)
         if view.versions.get(model) != target.version:
             _log.info("weights.not_swapped", instance=name, model=model)
             self._sent.get(name, set()).discard((model, target.version))
@@ -231,7 +233,7 @@
         self._swap_s = 0.7 * self._swap_s + 0.3 * (loop.time() - started_s)
         _log.info("weights.swapped", instance=name, model=model, to=target.version)
 
-    async def _send(self, name: str, model: str, target: ModelVersion) -> bool:
+    async def _send_weights(self, name: str, model: str, target: ModelVersion) -> bool:
         sent = self._sent.setdefault(name, set())
         if (model, target.version) in sent:
             return True
--- a/pistachioglade/agent/tests/stepping.py
+++ b/pistachioglade/agent/tests/stepping.py
@@ -1,8 +1,8 @@
 """A step owner and its trainer's client in one process, with an object API in memory.
 
-The owner is the real one, on an event loop in a thread of its own; an engine answers
-each sample at once. What the trainer's requests meet between entry and owner is as in
-the programs: an error of the handler is answered as a fault of the program.
+The owner is the real class, on an event loop in its own thread; an engine answers each
+sample at once. As in the programs, an exception of the request handler is answered as
+an internal error.
 """
 
 from __future__ import annotations
@@ -49,29 +49,29 @@
 TRAINER = "tagger"
 #: Samples of a step.
 STEP_SAMPLES = 4
-#: Longest that a request of a test waits for the owner.
+#: Maximum time that a test's request waits for the owner, in seconds.
 _ANSWER_S = 20.0
 
 
 class MemoryApi:
-    """Objects with versions; answers nothing while it is away."""
+    """Objects with versions; refuses every call while unavailable."""
 
     def __init__(self) -> None:
         self.objects: dict[str, StoredObject] = {}
-        self.is_away = False
-        # Paths that are refused whenever they are written.
+        self.is_unavailable = False
+        # Paths whose writes are always refused.
         self.refused: set[str] = set()
 
     def get(self, path: str) -> StoredObject | Refusal:
         """Return an object."""
-        if self.is_away:
+        if self.is_unavailable:
             return refuse(ErrorKind.PLATFORM_UNAVAILABLE, "away")
         found = self.objects.get(path)
         return found or refuse(ErrorKind.NOT_FOUND, path)
 
     def put(self, path: str, value: Any, version: int) -> int | Refusal:
-        """Write an object if it still has the version."""
-        if self.is_away:
+        """Write an object if its version is still ``version``."""
+        if self.is_unavailable:
             return refuse(ErrorKind.PLATFORM_UNAVAILABLE, "away")
         if path in self.refused:
             return refuse(ErrorKind.BAD_REQUEST, path)
@@ -82,12 +82,12 @@
         return version + 1
 
     def refusals(self, step: int) -> dict[str, int]:
-        """Return what the record of a step counts as refused, by error kind."""
+        """Return the refusal counts of a step's record, by error kind."""
         path = f"ledger/{TRAINER}/{step}/agent-1.1"
         return unpack_step(self.objects[path].value).refusals
 
     def recorded(self) -> dict[tuple[int, int], str]:
-        """Return the copy that the report has of each sample, by step and index."""
+        """Return the copy id of each recorded sample, by step and index."""
         records = [
             unpack_step(item.value)
             for path, item in self.objects.items()
@@ -98,11 +98,11 @@
 
 
 class _Engines:
-    """Answers each sample at once; each copy has a number of its own."""
+    """Answers each sample at once; each copy has a unique number."""
 
     def __init__(self) -> None:
-        self._made = 0
-        # Samples whose making always fails, by step and index, and why.
+        self._copy_count = 0
+        # Refusal of each sample whose generation always fails, by step and index.
         self.failing: dict[tuple[int, int], Refusal] = {}
 
     async def call(self, address: str, message: Any, timeout_s: float) -> Any:
@@ -111,15 +111,15 @@
         failure = self.failing.get((message.step, message.index))
         if failure is not None:
             return failure
-        self._made += 1
+        self._copy_count += 1
         spans = (VersionSpan(message.min_version, 3),)
-        copy = f"engines.1.{self._made}"
+        copy = f"engines.1.{self._copy_count}"
         sample = Sample(message.index, copy, "t", spans, "engines", "e")
         return Generated(sample, AgentLoad(slots=8, running=0, queued=0))
 
 
 class _Tracing:
-    """No spans."""
+    """Tracing without spans."""
 
     @contextmanager
     def span(self, name: str, parent: str = "", **fields: Any) -> Iterator[str]:
@@ -133,7 +133,7 @@
 
 
 class _Node:
-    """What a step owner needs of its process."""
+    """The attributes of a node that a step owner uses."""
 
     def __init__(self, name: str, api: MemoryApi, engines: _Engines) -> None:
         self.settings = _Settings(name)
@@ -169,14 +169,14 @@
 
 
 class _Rollouts:
-    """Has seen no fence."""
+    """Rollouts that have seen no fencing token."""
 
     def highest_fence(self, trainer: str) -> int:
         return 0
 
 
 class Stage:
-    """An owner in office, and the way of a trainer's requests to it."""
+    """A current step owner, and the path of trainers' requests to that owner."""
 
     def __init__(self) -> None:
         self.api = MemoryApi()
@@ -187,7 +187,7 @@
         self._owners = 0
         self._clients: list[TrainerClient] = []
         self._node: _Node | None = None
-        # Errors that a handler of the owner ended with.
+        # Exceptions raised by the owner's handlers.
         self.faults: list[str] = []
         self.replace_owner()
 
@@ -195,7 +195,7 @@
         return asyncio.run_coroutine_threadsafe(work, self._loop).result(_ANSWER_S)
 
     def replace_owner(self) -> None:
-        """Kill the owner in office with all that it has not written."""
+        """Replace the current owner; its unwritten records are lost."""
         self._run(self._replace_owner())
 
     async def _replace_owner(self) -> None:
@@ -209,7 +209,7 @@
         self._owner = StepOwner(settings, self._node, _Rollouts())  # type: ignore[arg-type]
 
     def lose_lease(self) -> None:
-        """Let another node take the lease, and the owner find that out."""
+        """Give the lease to another node and let the owner renew its lease."""
         path = f"owners/{TRAINER}"
         stored = self.api.objects[path]
         other = {**stored.value, "owner": "other", "fence": stored.value["fence"] + 1}
@@ -217,11 +217,11 @@
         self._run(self._owner._renew(TRAINER))
 
     def flush(self) -> None:
-        """Let the owner write its records."""
+        """Write the owner's pending records."""
         self._run(self._owner.ledger.flush())
 
     def client(self, saved: str = "") -> TrainerClient:
-        """Return a trainer's client, with a checkpoint as JSON."""
+        """Return a trainer's client that starts from a checkpoint as JSON."""
         settings = TrainerSettings(("http://e",), "token", "tags", 2, wait_s=0.2)
         checkpoint = TrainerCheckpoint.from_json(saved) if saved else None
         client = TrainerClient(settings, checkpoint)
@@ -254,7 +254,7 @@
             return await self._owner.open(
                 attrs.evolve(message, unreachable_owner=unreachable)
             )
-        except Exception as error:  # as the server of links answers it
+        except Exception as error:  # answered as the link server does
             self.faults.append(repr(error))
             return refuse(ErrorKind.INTERNAL, repr(error))
 
--- a/pistachioglade/agent/tests/test_late_requests.py
+++ b/pistachioglade/agent/tests/test_late_requests.py
@@ -1,11 +1,11 @@
-"""A request of a trainer's client that arrives behind its successor's first one.
-
-What users would see: a trainer that was killed and went on from its checkpoint waits
-for the rest of its step for ever. The order of events: the trainer takes samples and
-sends their receipts; the request waits at an entry, which looks for the owner for up to
-ten seconds; the trainer is killed before it saves, comes back, and opens the step by
-way of another entry, with fewer receipts. The late receipts then count for samples that
-nobody has. The cause: nothing told the two clients apart.
+"""A request of a killed trainer's client that arrives after its successor's first.
+
+The failure: a trainer that restarted from its checkpoint never gets the missing samples
+of its step. The trainer takes samples and sends their receipts; the request waits at an
+entry, which looks for the owner for up to ten seconds. The trainer is killed before it
+saves, restarts, and opens the step through another entry, with fewer receipts. Unless
+the owner distinguishes the two clients, the late receipts count for samples that the
+restarted trainer does not have.
 """
 
 from __future__ import annotations
@@ -19,36 +19,36 @@
 from ...trainer import TrainerClient
 from .stepping import STEP_SAMPLES, Stage
 
-#: Requests after which a step that gets no sample counts as standing still.
+#: Requests without a sample after which a step counts as stalled.
 _MANY_REQUESTS = 30
 
 
-class _StandstillError(Exception):
-    """A trainer asks again and again and gets nothing."""
+class _StalledError(Exception):
+    """A trainer's requests get no sample."""
 
 
 @pytest.fixture
 def stage() -> Iterator[Stage]:
-    made = Stage()
-    yield made
-    made.end()
+    started = Stage()
+    yield started
+    started.end()
 
 
 def _hold_requests(stage: Stage, client: TrainerClient) -> list[tuple[Any, ...]]:
-    """Let the client's requests wait at an entry from now on; return them."""
+    """Hold back the client's further requests; return the list that collects them."""
     held: list[tuple[Any, ...]] = []
 
     class _Entry:
         def post(self, *request: Any) -> Any | Refusal:
             held.append(request)
-            raise _StandstillError
+            raise _StalledError
 
     client._entries = _Entry()  # type: ignore[assignment]
     return held
 
 
 def _bound_requests(stage: Stage, client: TrainerClient) -> None:
-    """End the test if the client gets nothing for many requests."""
+    """End the test if the client gets no sample for :data:`_MANY_REQUESTS`."""
     requests = 0
 
     class _Entry:
@@ -56,14 +56,14 @@
             nonlocal requests
             requests += 1
             if requests > _MANY_REQUESTS:
-                raise _StandstillError
+                raise _StalledError
             return stage.post(*request)
 
     client._entries = _Entry()  # type: ignore[assignment]
 
 
 @pytest.mark.parametrize("taken_before", range(1, STEP_SAMPLES + 1))
-def test_late_receipts_take_no_sample_from_the_trainer_in_office(
+def test_late_receipts_of_a_killed_client_keep_no_sample_from_its_successor(
     stage: Stage, taken_before: int
 ) -> None:
     killed = stage.client()
@@ -72,7 +72,7 @@
     for _ in range(taken_before):
         assert opened.take() is not None
     held = _hold_requests(stage, killed)
-    with pytest.raises(_StandstillError):
+    with pytest.raises(_StalledError):
         opened._fetch()
     client = stage.client(saved)
     _bound_requests(stage, client)
@@ -86,14 +86,16 @@
     assert stage.api.recorded() == {(1, index): copy for index, copy in taken.items()}
 
 
-def test_a_late_opening_costs_the_trainer_in_office_nothing(stage: Stage) -> None:
+def test_a_late_open_request_of_a_killed_client_costs_its_successor_no_sample(
+    stage: Stage,
+) -> None:
     killed = stage.client()
     opened = stage.open(killed, 1)
     saved = killed.checkpoint().to_json()
     assert opened.take() is not None
     assert opened.take() is not None
     held = _hold_requests(stage, killed)
-    with pytest.raises(_StandstillError):
+    with pytest.raises(_StalledError):
         opened.reopen()
     client = stage.client(saved)
     _bound_requests(stage, client)
--- a/pistachioglade/agent/tests/test_owner_records.py
+++ b/pistachioglade/agent/tests/test_owner_records.py
@@ -1,15 +1,15 @@
-"""The record of steps that a trainer has finished, while it works on a later one.
-
-What users saw: a trainer stood still for two minutes in the middle of a step, and then
-lost it. The order of events: the owner of its steps was killed, or the object API was
-away, while the records of early steps were not known to be written; the trainer opened
-such a step once more, with all its receipts, to have it recorded. The cause: an owner
-kept the two newest of its finished steps. One that is opened again whole is finished at
-once, and the oldest; it was forgotten between its opening and the next line, where its
-samples are counted, at each try again. The same without a restart: of three closed
-steps the first was forgotten before its record was written. The evidence: `step.opened`
-of step 1 behind that of steps 2 to 5, followed each time by `link.handler_failed` with
-`KeyError: 1`; the same error in 26 of the 48 moments below.
+"""The records of a trainer's finished steps, while the trainer works on a later step.
+
+The failure: a trainer stalls for two minutes in the middle of a step and then loses the
+step. The owner of the steps is killed, or the object API is unavailable, while the
+records of early steps are not confirmed; the trainer opens such a step again, with all
+receipts, to have the step recorded. A step that is opened again complete is finished at
+once and is the oldest. An owner that keeps only the two newest finished steps forgets
+that step before the open request has counted its samples, at each try: the log has
+`step.opened` of step 1 after that of steps 2 to 5, each time followed by
+`link.handler_failed` with `KeyError: 1`, in 26 of the 48 moments below. Without a
+restart, such an owner forgets the first of three closed steps before its record is
+written.
 """
 
 from __future__ import annotations
@@ -27,23 +27,23 @@
 
 @attrs.frozen
 class Moment:
-    """When processes are killed, and for how long the object API is away."""
+    """When processes are killed, and for how long the object API is unavailable."""
 
-    # Closed steps whose record is not known to be written.
+    # Number of closed steps whose record is not confirmed.
     closed: int
-    # Whether the owner is killed in the middle of the step behind them.
+    # Whether the owner is killed in the middle of the step after the closed steps.
     kills_owner: bool
-    # Whether the trainer is killed then, and goes on from its checkpoint.
+    # Whether the trainer is killed then, and restarts from its checkpoint.
     kills_trainer: bool
-    # Whether the object API comes back before that step is whole.
-    is_back_in_time: bool
+    # Whether the object API recovers before that step is complete.
+    recovers_in_time: bool
 
     def __str__(self) -> str:
         """Return a name for the test's id."""
         names = ("owner", "trainer", "back")
         flags = attrs.astuple(self)[1:]
-        held = [name for name, flag in zip(names, flags, strict=True) if flag]
-        return "-".join([str(self.closed), *held])
+        set_names = [name for name, flag in zip(names, flags, strict=True) if flag]
+        return "-".join([str(self.closed), *set_names])
 
 
 _MOMENTS = [Moment(*values) for values in product(range(6), *[(False, True)] * 3)]
@@ -51,56 +51,57 @@
 
 @pytest.fixture
 def stage() -> Iterator[Stage]:
-    made = Stage()
-    yield made
-    made.end()
+    started = Stage()
+    yield started
+    started.end()
 
 
 @pytest.mark.parametrize("moment", _MOMENTS, ids=str)
-def test_closed_steps_are_recorded_and_the_one_in_hand_goes_on(
+def test_closed_steps_are_recorded_and_the_current_step_continues(
     stage: Stage, moment: Moment
 ) -> None:
     client = stage.client()
     taken: dict[tuple[int, int], str] = {}
     opened = stage.open(client, 1)
-    stage.api.is_away = True
+    stage.api.is_unavailable = True
     for step in range(1, moment.closed + 1):
         following = stage.open(client, step + 1)
         taken |= {(step, item.index): item.copy_id for item in opened}
         opened.close()
         opened = following
-    in_hand = moment.closed + 1
+    current_step = moment.closed + 1
     for _ in range(STEP_SAMPLES // 2):
         sample = opened.take()
         assert sample is not None
-        taken[in_hand, sample.index] = sample.copy_id
+        taken[current_step, sample.index] = sample.copy_id
     saved = client.checkpoint().to_json()
     if moment.kills_owner:
         stage.replace_owner()
     if moment.kills_trainer:
         client = stage.client(saved)
-        opened = stage.open(client, in_hand)
-    stage.api.is_away = not moment.is_back_in_time
+        opened = stage.open(client, current_step)
+    stage.api.is_unavailable = not moment.recovers_in_time
     client.settle()
     stage.flush()
     client.settle()
-    taken |= {(in_hand, item.index): item.copy_id for item in opened}
+    taken |= {(current_step, item.index): item.copy_id for item in opened}
     opened.close()
-    stage.api.is_away = False
-    following = stage.open(client, in_hand + 1)
-    # The owner writes, the trainer asks, twice: once more for what was opened again.
+    stage.api.is_unavailable = False
+    following = stage.open(client, current_step + 1)
+    # The owner writes and the trainer asks twice: the second time for the steps that
+    # were opened again.
     for _ in range(2):
         stage.flush()
         client.settle()
     assert stage.faults == []
-    assert len(taken) == STEP_SAMPLES * in_hand
+    assert len(taken) == STEP_SAMPLES * current_step
     assert stage.api.recorded() == taken
     assert client.checkpoint().unrecorded == ()
     following.close()
 
 
 def _finish_steps(stage: Stage, last: int) -> None:
-    """Finish and record the steps up to ``last``; early ones are forgotten then."""
+    """Finish and record the steps up to ``last``; the owner forgets early steps."""
     client = stage.client()
     for step in range(1, last + 1):
         with stage.open(client, step) as opened:
@@ -109,8 +110,8 @@
         assert client.settle()
 
 
-def _ask(stage: Stage, step: int) -> SampleBatch | Refusal:
-    """Ask for a step as a trainer does that doesn't know whether it is recorded."""
+def _fetch_state(stage: Stage, step: int) -> SampleBatch | Refusal:
+    """Ask for a step as a trainer does whose record of that step is unconfirmed."""
     fields = {
         "receipts": [],
         "rejected": [],
@@ -122,29 +123,30 @@
     return answer if isinstance(answer, Refusal) else structure(answer, SampleBatch)
 
 
-def test_a_forgotten_step_is_known_as_recorded() -> None:
+def test_a_forgotten_step_is_reported_as_recorded() -> None:
     stage = Stage()
     _finish_steps(stage, 5)
-    assert _ask(stage, 1) == SampleBatch(1, (), missing_count=0, is_recorded=True)
+    assert _fetch_state(stage, 1) == SampleBatch(
+        1, (), missing_count=0, is_recorded=True
+    )
     stage.end()
 
 
-def test_an_owner_that_lost_its_lease_vouches_for_no_step() -> None:
+def test_an_owner_that_lost_its_lease_reports_no_step_as_recorded() -> None:
     stage = Stage()
     _finish_steps(stage, 5)
     stage.lose_lease()
-    answer = _ask(stage, 1)
+    answer = _fetch_state(stage, 1)
     assert isinstance(answer, Refusal)
     assert answer.kind is ErrorKind.UNKNOWN_STEP
     stage.end()
 
 
-def test_a_record_that_is_refused_holds_up_no_other() -> None:
-    """One record that the object API refuses again and again, and the ones behind it.
+def test_a_refused_record_does_not_delay_other_records() -> None:
+    """The object API refuses one record at each write.
 
-    What users would see: from then on the report has no step of any trainer of that
-    owner, and no trainer's record is ever known as written. The cause: a round of
-    writes ended with the first one that failed, whatever its reason.
+    If a round of writes ends at the first failure of any kind, the report gets no
+    further step of any trainer of that owner, and no trainer's record is confirmed.
     """
     stage = Stage()
     stage.api.refused.add(f"ledger/{TRAINER}/1/agent-1.1")
@@ -159,11 +161,11 @@
     stage.end()
 
 
-def test_a_step_that_is_opened_again_keeps_its_counts() -> None:
-    """A trainer that goes back to its checkpoint opens a step that was forgotten.
+def test_a_forgotten_step_that_is_opened_again_keeps_its_counts() -> None:
+    """A trainer that returns to its checkpoint opens a step that was forgotten.
 
-    What users would see: the report tells of no refusals in that step any more. The
-    cause: the owner wrote the step's record anew, with counts that began again.
+    If the owner writes the step's record with counts that start at zero, the report
+    loses the refusals of that step.
     """
     stage = Stage()
     client = stage.client()
--- a/pistachioglade/entry/tests/test_usage.py
+++ b/pistachioglade/entry/tests/test_usage.py
@@ -75,10 +75,10 @@
     api = _Api("")
     recorder = _recorder(api)
     _count(recorder, "lawyers")
-    api.is_away = True
+    api.is_unavailable = True
     _count(recorder, "indexers")
     _count(recorder, "engineers")
     assert api.callers() == ["lawyers"]
-    api.is_away = False
+    api.is_unavailable = False
     _count(recorder, "families")
     assert api.callers() == ["lawyers", "indexers", "engineers", "families"]
