--- a/pistachioglade/backing/__init__.py
+++ b/pistachioglade/backing/__init__.py
@@ -1,4 +1,4 @@
-"""Clients of what the platform gives: object API, instance list, weight store."""
+"""Clients of the platform: object API, instance list and weight store."""
 
 from ._http import HttpReply, HttpSession
 from ._instances import Instance, InstanceList
--- a/pistachioglade/backing/_http.py
+++ b/pistachioglade/backing/_http.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange by urllib3, without the library's own retries."""
+"""HTTP requests with urllib3, without the library's own retries."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 @attrs.frozen
 class HttpReply:
-    """A whole reply."""
+    """A complete HTTP reply."""
 
     # HTTP status code.
     status: int
-    # Body, whole.
+    # Complete body.
     body: bytes
     # Header fields, names in lower case.
     headers: dict[str, str]
@@ -33,7 +33,7 @@
 
 
 class HttpSession:
-    """A pool of connections to one server."""
+    """A connection pool for one server."""
 
     def __init__(self, base_url: str, connections: int = 8) -> None:
         self._base_url = base_url.rstrip("/")
@@ -49,7 +49,7 @@
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
     ) -> HttpReply | Refusal:
-        """Return the reply, or a refusal that tells whether the request went out."""
+        """Return the reply, or a refusal that says whether the request was sent."""
         try:
             reply = self._pool.request(
                 method,
@@ -69,7 +69,7 @@
     def stream(
         self, path: str, body: bytes, timeout_s: float
     ) -> urllib3.BaseHTTPResponse | Refusal:
-        """Post and return the reply with its body unread."""
+        """Send a POST request; return the reply with its body unread."""
         try:
             return self._pool.request(
                 "POST",
--- a/pistachioglade/backing/_instances.py
+++ b/pistachioglade/backing/_instances.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of instances."""
+"""The platform's list of instances, which may be out of date."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 @attrs.frozen
 class Instance:
-    """One line of the list."""
+    """One instance in the platform's list."""
 
     # Instance name.
     name: str
-    # Address of the link server of the system's process there; may be empty.
+    # Address of the link server of this system's process there; may be empty.
     link_address: str
-    # Whether the platform is taking the instance away.
+    # Whether the platform is removing the instance.
     leaving: bool
 
 
 class InstanceList:
-    """A blocking client."""
+    """A blocking client of the instance list."""
 
     def __init__(self, base_url: str) -> None:
         self._http = HttpSession(base_url)
 
     def read(self) -> tuple[Instance, ...] | Refusal:
-        """Return the list as it is now, which may be old."""
+        """Return the current list, which may be out of date."""
         reply = self._http.request("GET", "/instances", _CALL_TIMEOUT_S)
         if isinstance(reply, Refusal):
             return reply
--- a/pistachioglade/backing/_object_api.py
+++ b/pistachioglade/backing/_object_api.py
@@ -24,24 +24,24 @@
 )
 from ._http import HttpReply, HttpSession
 
-#: Time that one call may take.
+#: Timeout of one call, in seconds.
 CALL_TIMEOUT_S: Final = 2.0
 
 
 @attrs.frozen
 class StoredObject:
-    """An object with the version that conditional updates name."""
+    """An object with its version, which conditional updates name."""
 
     # Path of the object.
     path: str
-    # Version, given by the object API; grows with each write.
+    # Version assigned by the object API; grows with each write.
     version: int
     # JSON value.
     value: Any
 
 
 class ObjectApi:
-    """A blocking client; controllers call it from threads.
+    """A blocking client of the object API; controllers use the client from threads.
 
     The first part of a path is the kind of the object, the rest its name.
     """
@@ -57,7 +57,7 @@
         return _read(path, reply)
 
     def list(self, prefix: str) -> tuple[StoredObject, ...] | Refusal:
-        """Read every object below a prefix."""
+        """Read every object whose path starts with a prefix."""
         kind, start = _split(prefix)
         found: list[StoredObject] = []
         after = ""
@@ -97,7 +97,7 @@
     def watch(
         self, path: str, after_version: int, wait_s: float
     ) -> StoredObject | Refusal | None:
-        """Wait for a version after ``after_version``; None if none came."""
+        """Wait for a version after ``after_version``; return None if none appears."""
         kind, name = _split(path)
         call = watch_call(kind, after_version, wait_s)
         reply = self._call(call, timeout_s=wait_s + CALL_TIMEOUT_S)
@@ -107,12 +107,12 @@
             found = self.get(path)
             is_new = isinstance(found, Refusal) or found.version > after_version
             return found if is_new else None
-        told = decode_changes(reply.body)
-        if isinstance(told, Refusal):
-            return told
+        page_of_changes = decode_changes(reply.body)
+        if isinstance(page_of_changes, Refusal):
+            return page_of_changes
         entries = [
             change.entry
-            for change in told.changes
+            for change in page_of_changes.changes
             if change.entry.name == name and not change.is_removed
         ]
         return _stored(path, entries[-1]) if entries else None
@@ -125,13 +125,16 @@
         )
         is_write = call.method != "GET"
         if isinstance(reply, Refusal):
-            return _lost(reply, is_write)
+            return _transport_refusal(reply, is_write)
         answer = Response(reply.status, tuple(reply.headers.items()), reply.body)
         return refusal_of(answer, is_write) or reply
 
 
 def _split(path: str) -> tuple[str, str]:
-    """Return the kind and the name of a path; a root is the one object of its kind."""
+    """Return the kind and the name of a path.
+
+    A root is the only object of its kind; its path has one part, which is both.
+    """
     kind, _, name = path.partition("/")
     return kind, name or ("" if path.endswith("/") else kind)
 
@@ -146,7 +149,7 @@
     return StoredObject(path, entry.revision, entry.value)
 
 
-def _lost(refusal: Refusal, is_write: bool) -> Refusal:
+def _transport_refusal(refusal: Refusal, is_write: bool) -> Refusal:
     if is_write and not refusal.did_not_run:
         return refuse(ErrorKind.PLATFORM_UNCERTAIN, refusal.reason)
     return refuse(ErrorKind.PLATFORM_UNAVAILABLE, refusal.reason)
--- a/pistachioglade/backing/_root_store.py
+++ b/pistachioglade/backing/_root_store.py
@@ -1,8 +1,8 @@
-"""The root object: one conditional swap for every accepted change.
+"""The root object: one conditional update for each accepted change.
 
-A root keeps the tags of its last writers. After a lost answer the writer reads
-back: its tag tells that the write took effect, a newer version without it that
-it never will.
+A root contains the tags of its recent writes. After a lost answer the writer reads
+the root again: if the root contains the tag, the write took effect; if a newer
+version lacks the tag, the write will never take effect.
 """
 
 from __future__ import annotations
@@ -19,26 +19,26 @@
 from ._object_api import ObjectApi, StoredObject
 
 ROOT_PATH: Final = "root"
-#: Writers that a root remembers.
+#: Number of write tags in a root.
 _RECENT_WRITES: Final = 32
-#: Time within which a write has to be settled.
+#: Time within which the outcome of a write has to be known, in seconds.
 _SETTLE_S: Final = 8.0
-_PAUSE_S: Final = 0.1
+_RETRY_PAUSE_S: Final = 0.1
 
-#: Returns the root that should follow, or why there can be none.
+#: Returns the root that replaces the given root, or a refusal.
 RootChange = Callable[[RootState], RootState | Refusal]
 
 
 @attrs.frozen
 class _Versioned:
-    # Version of the object; 0 if there is none yet.
+    # Version of the object; 0 if the object does not exist.
     version: int
-    # The root.
+    # Content of the object.
     root: RootState
 
 
 class RootStore:
-    """Reads and swaps the root."""
+    """Reads and conditionally replaces the root."""
 
     def __init__(self, api: ObjectApi, writer: str) -> None:
         self._api = api
@@ -74,7 +74,7 @@
         return RootSnapshot(root, parts)
 
     def write_parts(self, parts: Mapping[str, str]) -> Refusal | None:
-        """Write parts by their digests; one that exists already is the same."""
+        """Write parts by their digests; an existing part has the same content."""
         for digest, text in parts.items():
             refusal = self._write_part(digest, text)
             if refusal is not None:
@@ -82,7 +82,7 @@
         return None
 
     def _write_part(self, digest: str, text: str) -> Refusal | None:
-        """Write one part; after a lost answer, writing it again is harmless."""
+        """Write one part; repeat the write after a lost answer, which is idempotent."""
         deadline_s = time.monotonic() + _SETTLE_S
         while True:
             result = self._api.put(f"parts/{digest}", {"text": text}, 0)
@@ -93,7 +93,7 @@
                 return refuse(ErrorKind.PLATFORM_UNAVAILABLE, result.reason)
 
     def commit(self, change: RootChange) -> RootState | Refusal:
-        """Swap the root; the answer is settled, or says that it could not be."""
+        """Replace the root; a PLATFORM_UNCERTAIN refusal means an unknown outcome."""
         deadline_s = time.monotonic() + _SETTLE_S
         tag = f"{self._writer}:{next(self._sequence)}"
         maybe_written = False
@@ -102,7 +102,7 @@
             if isinstance(found, Refusal):
                 if not maybe_written:
                     return found
-                time.sleep(_PAUSE_S)
+                time.sleep(_RETRY_PAUSE_S)
                 continue
             earlier = _generation_of(found.root, tag)
             if earlier is not None:
@@ -116,7 +116,7 @@
             if result.kind is ErrorKind.PLATFORM_UNAVAILABLE and not maybe_written:
                 return result
             maybe_written |= result.kind is ErrorKind.PLATFORM_UNCERTAIN
-            time.sleep(_PAUSE_S)
+            time.sleep(_RETRY_PAUSE_S)
         return refuse(ErrorKind.PLATFORM_UNCERTAIN, "the write could not be settled")
 
     def _swap(
@@ -132,10 +132,10 @@
 
 
 def _generation_of(root: RootState, tag: str) -> int | None:
-    """Return the generation that the write of ``tag`` made, if it is known."""
-    made = (
+    """Return the generation written with ``tag``; None if the root lacks the tag."""
+    generations = (
         int(write.rpartition(":")[2])
         for write in root.recent_writes
         if write.rpartition(":")[0] == tag
     )
-    return next(made, None)
+    return next(generations, None)
--- a/pistachioglade/backing/_weight_store.py
+++ b/pistachioglade/backing/_weight_store.py
@@ -1,4 +1,4 @@
-"""The rate-limited weight store."""
+"""Client of the weight store, which limits the transfer rate."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from ..errors import ErrorKind, Refusal, refuse
 from ._http import HttpSession
 
-#: Size of the pieces in which weights are copied.
+#: Size of the chunks in which weights are copied, in bytes.
 CHUNK_BYTES: Final = 256 * 1024
 _CALL_TIMEOUT_S: Final = 30.0
 
 
 class WeightStore:
-    """A blocking client."""
+    """A blocking client of the weight store."""
 
     def __init__(self, base_url: str) -> None:
         self._http = HttpSession(base_url)
 
     def chunk(self, model: str, version: int, number: int) -> bytes | Refusal:
-        """Return one piece of a version's weights."""
+        """Return one chunk of a version's weights."""
         start = number * CHUNK_BYTES
         path = f"/weights/{quote(model)}/{version}"
         reply = self._http.request(
--- a/pistachioglade/backing/tests/test_root_store.py
+++ b/pistachioglade/backing/tests/test_root_store.py
@@ -1,4 +1,4 @@
-"""The root's swap over an object API that loses answers and has rivals."""
+"""Root updates with lost answers and concurrent writers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class FakeApi:
-    """Objects in memory; each write may lose its answer or meet a rival."""
+    """Objects in memory; a write may lose its answer or compete with another writer."""
 
     def __init__(self, script: list[str]) -> None:
         self.script = list(script)
--- a/pistachioglade/blackboard/__init__.py
+++ b/pistachioglade/blackboard/__init__.py
@@ -1,4 +1,4 @@
-"""The store of facts that a process's controllers read and write."""
+"""The in-process store of values that controllers share."""
 
 from ._blackboard import Blackboard, Topic
 
--- a/pistachioglade/blackboard/_blackboard.py
+++ b/pistachioglade/blackboard/_blackboard.py
@@ -1,7 +1,7 @@
-"""Typed facts with wake-ups, owned by one event loop.
+"""Typed values with change notification, owned by one event loop.
 
 Writes happen on the loop. Reads may come from other threads, since each value
-is immutable and is replaced whole.
+is immutable and is replaced as a whole.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 
 @attrs.frozen(eq=False)
 class Topic(Generic[T]):
-    """The name and the first value of one fact."""
+    """The name and the initial value of one shared value."""
 
-    # Name for logs.
+    # Name of the topic, for logs.
     name: str
     # Value before the first write.
     initial: T
 
 
 class Blackboard:
-    """Facts by :class:`Topic`."""
+    """Stores one value for each :class:`Topic` and notifies its listeners."""
 
     def __init__(self) -> None:
         self._values: dict[Topic[Any], Any] = {}
@@ -41,7 +41,7 @@
         return value
 
     def write(self, topic: Topic[T], value: T) -> None:
-        """Replace the value of ``topic`` and wake those who follow it."""
+        """Replace the value of ``topic``; call its listeners if the value changed."""
         if self.read(topic) == value:
             return
         self._values[topic] = value
--- a/pistachioglade/entry/__init__.py
+++ b/pistachioglade/entry/__init__.py
@@ -1,4 +1,4 @@
-"""The entry: HTTP for callers, trainers and operators; keeps nothing that lasts."""
+"""The entry: HTTP for callers, trainers and operators; keeps no durable state."""
 
 from ._keys import format_key, parse_key
 from ._program import main
--- a/pistachioglade/entry/_auth.py
+++ b/pistachioglade/entry/_auth.py
@@ -1,4 +1,4 @@
-"""Who sent a request, by bearer tokens whose hashes the configuration holds."""
+"""Authentication by bearer tokens whose hashes are in the configuration."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class Authenticator:
-    """Finds principals by their tokens."""
+    """Finds trainers, callers and operators by their tokens."""
 
     def __init__(self, first_operator_token: str) -> None:
         digest = hashlib.sha256(first_operator_token.encode()).hexdigest()
         self._first_operator = Operator("first-operator", digest)
 
     def find(self, config: ServiceConfig, token: str) -> Principal | Refusal:
-        """Return the principal that a token belongs to."""
+        """Return the principal to which a token belongs."""
         digest = hashlib.sha256(token.encode()).hexdigest()
         principals: tuple[Principal, ...] = (
             *config.trainers,
--- a/pistachioglade/entry/_calls.py
+++ b/pistachioglade/entry/_calls.py
@@ -1,4 +1,4 @@
-"""The way of a call from the entry to an agent, with retries."""
+"""Routes calls from the entry to agents, with retries."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 
 _log = logger(__name__)
 
-_KEYED_PAUSE_S = 0.1
-#: Refusals of a link behind which the key's holder may still be well.
+_KEYED_RETRY_PAUSE_S = 0.1
+#: Link failures after which the process bound to the key may still run.
 _LINK_FAULTS = frozenset(
     {ErrorKind.LINK_LOST, ErrorKind.LINK_NOT_OPEN, ErrorKind.LINK_REFUSED}
 )
@@ -32,7 +32,7 @@
 
 
 class CallRouter:
-    """Chooses agents for calls and remembers how they answer."""
+    """Chooses agents for calls and records their answers and failures."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
@@ -80,25 +80,25 @@
     def _choose(self, upstream: str, tried: Iterable[str]) -> str | None:
         candidates = self._candidates(upstream)
         if self._config().policy.name != "fair":
-            return self._next_in_turn(candidates, tried)
+            return self._choose_at_random(candidates, tried)
         domain = self._node.settings.domain
         chooser = self._chooser(upstream)
         return chooser.choose(candidates, domain, tried, time.monotonic())
 
-    def _next_in_turn(
+    def _choose_at_random(
         self, candidates: list[Candidate], tried: Iterable[str]
     ) -> str | None:
-        """Choose for the baseline policy: at random, whatever the load."""
-        passed = set(tried)
-        fresh = [item.agent for item in candidates if item.agent not in passed]
-        return self._rng.choice(fresh) if fresh else None
+        """Choose an agent at random, regardless of load; for the baseline policy."""
+        excluded = set(tried)
+        untried = [item.agent for item in candidates if item.agent not in excluded]
+        return self._rng.choice(untried) if untried else None
 
     def _address(self, agent: str) -> str:
         record = self._node.board.read(MEMBERS).get(agent)
         return record.address if record else ""
 
     async def run(self, call: RunCall) -> CallAnswer | Refusal:
-        """Run a call without a key: elsewhere only if that can do no harm."""
+        """Run a call without a key; retry at another agent only if that is safe."""
         deadline_s = time.monotonic() + call.budget_s
         self._budget.first_try()
         tried: list[str] = []
@@ -161,14 +161,14 @@
         return refuse(ErrorKind.INTERNAL, f"unexpected {type(answer).__name__}")
 
     async def run_keyed(self, call: RunCall, key: BoundKey) -> CallAnswer | Refusal:
-        """Run a call with a key, at the one agent incarnation that may.
+        """Run a call with a key at the agent incarnation to which the key is bound.
 
-        Trying again there is harmless. Only that agent may say that the key did
-        not run; what this entry can't find out is unknown.
+        Retries at that incarnation are safe. Only that agent can state that the key
+        did not run; without its answer the execution is unknown.
         """
         deadline_s = time.monotonic() + call.budget_s
         while True:
-            if self._holder_is_gone(key.ticket):
+            if self._is_holder_gone(key.ticket):
                 reason = "the process that was bound to this key is gone"
                 return refuse(ErrorKind.KEY_HOLDER_GONE, reason)
             result = await self._send(call, key.ticket.agent, deadline_s)
@@ -176,11 +176,11 @@
                 return result
             if result.kind not in _LINK_FAULTS:
                 return result
-            if time.monotonic() + _KEYED_PAUSE_S >= deadline_s:
+            if time.monotonic() + _KEYED_RETRY_PAUSE_S >= deadline_s:
                 return result.as_unknown()
-            await asyncio.sleep(_KEYED_PAUSE_S)
+            await asyncio.sleep(_KEYED_RETRY_PAUSE_S)
 
-    def _holder_is_gone(self, ticket: Ticket) -> bool:
+    def _is_holder_gone(self, ticket: Ticket) -> bool:
         record = self._node.board.read(MEMBERS).get(ticket.agent)
         if record is None or record.incarnation < ticket.incarnation:
             return False
--- a/pistachioglade/entry/_http.py
+++ b/pistachioglade/entry/_http.py
@@ -1,4 +1,4 @@
-"""Requests and responses, apart from the WSGI calling convention."""
+"""Requests and responses, independent of the WSGI calling convention."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 @attrs.frozen
 class Request:
-    """One request, with its body read."""
+    """One HTTP request with its complete body."""
 
     # HTTP method.
     method: str
-    # Path, split at the slashes.
+    # Path segments.
     path: tuple[str, ...]
-    # Query fields; the last one of a name counts.
+    # Query fields; the last value of a repeated name counts.
     query: dict[str, str]
-    # Bearer token; empty for none.
+    # Bearer token; empty if absent.
     token: str
-    # Body, whole.
+    # Complete body.
     body: bytes
-    # Header Idempotency-Key; empty for none.
+    # Header Idempotency-Key; empty if absent.
     idempotency_key: str = ""
-    # Header Budget-S: how long the caller waits; None for the default.
+    # Header Budget-S: time for which the caller waits; None for the default.
     budget_s: float | None = None
-    # Header traceparent; empty for none.
+    # Header traceparent; empty if absent.
     traceparent: str = ""
 
     def json(self) -> dict[str, Any] | Refusal:
@@ -49,11 +49,11 @@
 
 @attrs.frozen
 class Response:
-    """One whole response."""
+    """One complete HTTP response."""
 
     # HTTP status code.
     status: int
-    # Body.
+    # Complete body.
     body: bytes
     # Header fields besides length and type.
     headers: tuple[tuple[str, str], ...] = ()
@@ -69,7 +69,7 @@
 
 
 def refusal_response(refusal: Refusal) -> Response:
-    """Return the final answer for a refused request."""
+    """Return the response for a refused request."""
     fields = {
         "error": refusal.kind.value,
         "reason": refusal.reason,
@@ -112,7 +112,7 @@
 
 
 def status_line(status: int) -> str:
-    """Return the status with its phrase."""
+    """Return the status code with its reason phrase."""
     try:
         return f"{status} {HTTPStatus(status).phrase}"
     except ValueError:
--- a/pistachioglade/entry/_keys.py
+++ b/pistachioglade/entry/_keys.py
@@ -1,4 +1,4 @@
-"""The text form of a ticket's keys, as callers see them."""
+"""The text form of a ticket's idempotency keys, as sent to callers."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 @attrs.frozen
 class BoundKey:
-    """An idempotency key that names the agent incarnation it is bound to."""
+    """An idempotency key that is bound to one agent incarnation by its ticket."""
 
-    # The ticket that the key is of.
+    # Ticket to which the key belongs.
     ticket: Ticket
-    # Place of the key within the ticket.
+    # Index of the key within the ticket.
     index: int
 
 
 def format_key(ticket: Ticket, index: int) -> str:
-    """Return the text of a key, for the header Idempotency-Key."""
+    """Return the text of a key for the header Idempotency-Key."""
     fields = (
         ticket.agent,
         f"{ticket.incarnation:x}",
@@ -35,7 +35,7 @@
 
 
 def parse_key(text: str) -> BoundKey | Refusal:
-    """Return the key that ``text`` stands for."""
+    """Return the key whose text form is ``text``."""
     fields = text.split(_SEPARATOR)
     try:
         agent, incarnation, number, count, index = fields
--- a/pistachioglade/entry/_program.py
+++ b/pistachioglade/entry/_program.py
@@ -26,14 +26,15 @@
 
 _DRAIN_BOUND_S: Final = 40.0
 _DRAIN_POLL_S: Final = 0.05
-#: Time in which a leaving entry still refuses, so that the balancer sees it.
+#: Time for which a leaving entry still sends refusals, so that the load balancer
+#: notices the refusals, in seconds.
 _LINGER_S: Final = 0.5
-#: Threads that no request may hold for long, so that refusals go out at once.
+#: Threads reserved for refusals, so that refusals are sent at once under full load.
 _SPARE_THREADS: Final = 8
 
 
 class Entry:
-    """All parts of one entry, wired."""
+    """The components of one entry and its HTTP server."""
 
     def __init__(self, settings: EntrySettings) -> None:
         self._settings = settings
@@ -58,7 +59,7 @@
         self._in_flight = 0
         self._lock = threading.Lock()
         self._loop: asyncio.AbstractEventLoop | None = None
-        self._drain_asked = asyncio.Event()
+        self._drain_requested = asyncio.Event()
 
     async def handle(self, message: Any, peer: Peer) -> Any:
         """Answer a message from a peer."""
@@ -102,18 +103,18 @@
         )
         try:
             return future.result()
-        except Exception as error:  # a fault of one request must not end the thread
+        except Exception as error:  # one failed request must not end the thread
             _log.exception("request.failed", path="/".join(request.path))
             reason = f"{type(error).__name__}: {error}"
             return refusal_response(refuse(ErrorKind.INTERNAL, reason))
 
     def begin_drain(self) -> None:
-        """Take no new work from now on; idempotent."""
+        """Start the planned stop: refuse new work; idempotent."""
         self.node.leave()
-        self._drain_asked.set()
+        self._drain_requested.set()
 
     async def run(self) -> None:
-        """Serve until a planned stop is asked for, then stop in order."""
+        """Serve until a planned stop is requested, then drain and close."""
         self._loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             self._loop.add_signal_handler(number, self.begin_drain)
@@ -124,11 +125,11 @@
         thread = threading.Thread(target=self._http.serve, daemon=True)
         thread.start()
         _log.info("entry.started", address=self._settings.http_address)
-        await self._drain_asked.wait()
+        await self._drain_requested.wait()
         await self._drain(thread)
 
     async def _drain(self, thread: threading.Thread) -> None:
-        """Finish what runs, write the record, then close."""
+        """Finish in-flight requests, write the usage records, then close."""
         await asyncio.sleep(_LINGER_S)
         deadline_s = time.monotonic() + _DRAIN_BOUND_S
         while self._in_flight and time.monotonic() < deadline_s:
--- a/pistachioglade/entry/_publish.py
+++ b/pistachioglade/entry/_publish.py
@@ -1,4 +1,4 @@
-"""Changes of the root: new weights and new configuration."""
+"""Changes of the root: new weight versions and new configuration."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 
 @attrs.frozen
 class Applied:
-    """The outcome of an accepted file."""
+    """The result of an accepted configuration file."""
 
-    # Generation that the file is in force from.
+    # Generation from which the file is in force.
     generation: int
-    # Whether the file changed anything.
+    # Whether the file changed the configuration.
     changed: bool
 
 
 class Publisher:
-    """Commits changes through the object API, then puts them in force here."""
+    """Commits changes through the object API, then applies the changes here."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
 
     async def publish(self, model: str, version: ModelVersion) -> RootState | Refusal:
-        """Make a version the newest of its model; safe to repeat."""
+        """Make a version the newest of its model; idempotent."""
 
         def change(root: RootState) -> RootState | Refusal:
             known = root.models.get(model)
@@ -50,10 +50,10 @@
         return root
 
     async def apply(self, text: str, base_generation: int | None) -> Applied | Refusal:
-        """Put a file in force, whole or not at all.
+        """Apply a configuration file, completely or not at all.
 
-        The file takes the place of the parts that were in force when the request
-        came; if another file got in between, this one is refused.
+        The file replaces the sections that were in force when the request arrived. If
+        another file is applied in the meantime, the request is refused.
         """
         config, faults = check_document(text)
         if config is None:
@@ -99,7 +99,7 @@
         return Applied(root.generation, changed=True)
 
     def current_parts(self) -> dict[str, str]:
-        """Return the text of each section in force here."""
+        """Return the text of each configuration section in force here."""
         snapshot = self._node.board.read(ROOT)
         if snapshot is None:
             return {}
--- a/pistachioglade/entry/_routes.py
+++ b/pistachioglade/entry/_routes.py
@@ -1,4 +1,4 @@
-"""What each path does; runs on the event loop."""
+"""Handlers of the HTTP paths; run on the event loop."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class Routes:
-    """The paths of the entry's HTTP interface; see docs/API.md."""
+    """Dispatches requests to the handlers of the paths; see docs/API.md."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
         return self._node.board.read(CONFIG) or ServiceConfig()
 
     async def answer(self, request: Request) -> Response:
-        """Answer any request."""
+        """Answer a request; a refusal becomes a response."""
         result = await self._dispatch(request)
         return refusal_response(result) if isinstance(result, Refusal) else result
 
@@ -183,7 +183,7 @@
         if isinstance(message, Refusal):
             return message
         budget_s = request.budget_s or self._default_budget_s
-        return await self._to_owner(trainer, message, budget_s)
+        return await self._send_to_owner(trainer, message, budget_s)
 
     async def _fetch(self, request: Request, step: str) -> Response | Refusal:
         trainer = self._trainer(request)
@@ -194,9 +194,9 @@
             return message
         wait_s = max(0.0, min(message.wait_s, _MAX_WAIT_S))
         message = attrs.evolve(message, wait_s=wait_s)
-        return await self._to_owner(trainer, message, wait_s + _RETRY_MARGIN_S)
+        return await self._send_to_owner(trainer, message, wait_s + _RETRY_MARGIN_S)
 
-    async def _to_owner(
+    async def _send_to_owner(
         self, trainer: Trainer, message: OpenStep | FetchSamples, budget_s: float
     ) -> Response | Refusal:
         started_s = time.monotonic()
@@ -299,7 +299,7 @@
         return answer if isinstance(answer, NodeStatus) else None
 
     def own_status(self) -> NodeStatus:
-        """Return this entry's view of itself."""
+        """Return the status that this entry reports about itself."""
         return NodeStatus(
             node=self._node.settings.node,
             incarnation=self._node.incarnation,
@@ -353,7 +353,10 @@
 
 
 def _structure(request: Request, cls: type[Any], **known: Any) -> Any:
-    """Return the message of a request's body; it may not hold what is known."""
+    """Return the message of a request's body, completed by the ``known`` fields.
+
+    A body that sets a known field itself is refused.
+    """
     fields = request.json()
     if isinstance(fields, Refusal):
         return fields
--- a/pistachioglade/entry/_usage.py
+++ b/pistachioglade/entry/_usage.py
@@ -1,4 +1,4 @@
-"""Counts what this entry answered and refused, and writes it for the report."""
+"""Counts answered and refused requests of this entry and writes usage records."""
 
 from __future__ import annotations
 
@@ -21,15 +21,16 @@
 _log = logger(__name__)
 
 _WRITE_INTERVAL_S: Final = 5.0
-#: Answer times that a histogram holds, in microseconds.
+#: Range of the answer times in a histogram, in microseconds.
 _LOWEST_US: Final = 1
 _HIGHEST_US: Final = 3_600_000_000
 _DIGITS: Final = 2
-#: Different reasons that are counted for one caller; more are counted as one.
+#: Maximum number of reasons counted for one caller; further reasons are counted
+#: together.
 _MAX_REASONS: Final = 50
-#: Refusals behind which the same records are written again at the same number: the
-#: object API is away, or the write may have taken effect.
-_UNSETTLED: Final = frozenset(
+#: Refusals after which the same records are written again under the same number: the
+#: object API is unavailable, or the write may have taken effect.
+_RETRYABLE: Final = frozenset(
     {
         ErrorKind.PLATFORM_UNAVAILABLE,
         ErrorKind.PLATFORM_UNCERTAIN,
@@ -41,20 +42,20 @@
 
 @attrs.define
 class _Tally:
-    # Kind of the caller.
+    # Caller kind.
     kind: str
-    # Requests that were answered.
+    # Number of answered requests.
     answered: int = 0
-    # Refusals by kind and reason.
+    # Number of refusals by kind and reason.
     refusals: Counter[str] = attrs.field(factory=Counter)
-    # Answer times.
+    # Histogram of the answer times, in microseconds.
     latency: HdrHistogram = attrs.field(
         factory=lambda: HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
     )
 
 
 class UsageRecorder:
-    """One span of time after the other, each in an object of its own."""
+    """Records usage in consecutive time spans, each in its own object."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
@@ -85,13 +86,13 @@
             refusals[name] += 1
 
     async def run(self) -> None:
-        """Write for as long as the process runs."""
+        """Write usage records at intervals until cancelled."""
         while True:
             await asyncio.sleep(_WRITE_INTERVAL_S)
             await self.flush()
 
     async def flush(self) -> None:
-        """Close the current span and write what is not written yet."""
+        """Close the current span and write the unwritten spans."""
         self._close_span()
         for _ in range(len(self._unwritten)):
             refusal = await self._write(self._unwritten[0])
@@ -105,9 +106,9 @@
                 kind=refusal.kind.value,
                 reason=refusal.reason,
             )
-            if refusal.kind in _UNSETTLED:
+            if refusal.kind in _RETRYABLE:
                 return
-            # Refused for good, as far as is known: it must not hold up later spans.
+            # The refusal looks permanent: the span must not delay later spans.
             self._unwritten.append(self._unwritten.pop(0))
 
     def _close_span(self) -> None:
@@ -132,7 +133,7 @@
             )
 
     async def _write(self, records: tuple[UsageRecord, ...]) -> Refusal | None:
-        """Write the records of one span; return why it is not known to be written."""
+        """Write the records of a span; return a refusal if the write is unconfirmed."""
         node = f"{self._node.settings.node}.{self._node.incarnation}"
         path = f"usage/{node}/{self._number:08d}"
         value = unstructure(records)
--- a/pistachioglade/entry/tests/test_usage.py
+++ b/pistachioglade/entry/tests/test_usage.py
@@ -1,4 +1,4 @@
-"""The counts of an entry that the object API does not take."""
+"""Usage records of an entry whose writes the object API refuses."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class _Api(MemoryApi):
-    """Refuses what is said of one caller."""
+    """Refuses the records of one caller."""
 
     def __init__(self, refused_caller: str) -> None:
         super().__init__()
@@ -40,7 +40,7 @@
 
 
 class _Node:
-    """What the recorder needs of its process."""
+    """The attributes of a node that the recorder uses."""
 
     def __init__(self, api: MemoryApi) -> None:
         self.settings = _Settings()
@@ -57,12 +57,12 @@
     asyncio.run(recorder.flush())
 
 
-def test_a_span_that_is_refused_holds_up_no_other() -> None:
-    """One span of counts that the object API refuses again and again.
+def test_a_refused_span_does_not_delay_other_spans() -> None:
+    """The object API refuses one span of counts at each write.
 
-    What users would see: from then on the report counts no request of any caller at
-    that entry, without a line that says why. The cause: a round of writes ended with
-    the first that failed, and the refused one stayed the first.
+    If a round of writes ends at the first failure of any kind and the refused span
+    stays the first, the report counts no further request of any caller at that entry,
+    and no log line gives the reason.
     """
     api = _Api("indexers")
     recorder = _recorder(api)
@@ -71,7 +71,7 @@
     assert api.callers() == ["lawyers", "engineers", "families"]
 
 
-def test_an_outage_loses_no_span_and_changes_no_order() -> None:
+def test_an_outage_keeps_all_spans_in_order() -> None:
     api = _Api("")
     recorder = _recorder(api)
     _count(recorder, "lawyers")
