--- a/pistachioglade/trainer/_checkpoint.py
+++ b/pistachioglade/trainer/_checkpoint.py
@@ -1,4 +1,4 @@
-"""What a trainer saves with its own checkpoint."""
+"""The client state that a trainer saves with its own checkpoint."""
 
 from __future__ import annotations
 
@@ -11,42 +11,42 @@
 
 @attrs.frozen
 class StepCheckpoint:
-    """One open step."""
+    """The state of one open step."""
 
     # Number of the step.
     step: int
-    # When it was first opened.
+    # Unix time at which the step was first opened, in seconds.
     opened_unix_s: float
-    # Samples that were taken.
+    # Receipts of the samples that were taken.
     receipts: tuple[Receipt, ...]
 
 
 @attrs.frozen
 class ClosedStepCheckpoint:
-    """A step that was taken whole, and whose record is not known to be written.
+    """A complete step whose record is not confirmed.
 
-    Its owner may be gone with the last receipts, and the report would lack them where
-    the trainer is killed as well. The next client opens the step again, which takes its
-    prompts.
+    The owner may be lost together with the last receipts; if the trainer is killed as
+    well, the report would lack those receipts. So the next client opens the step again,
+    which needs the prompts.
     """
 
-    # What an open step has.
+    # State that an open step has as well.
     state: StepCheckpoint
-    # Its prompts.
+    # Prompts of the step.
     groups: tuple[Group, ...]
-    # Most tokens of a sample.
+    # Maximum number of tokens of a sample.
     max_tokens: int
 
 
 @attrs.frozen
 class TrainerCheckpoint:
-    """All of a client's state."""
+    """The state of a trainer's client."""
 
-    # Newest version that was published.
+    # Newest published version; 0 if there is none.
     newest_version: int = 0
     # Open steps.
     steps: tuple[StepCheckpoint, ...] = ()
-    # Closed steps whose record is not known to be written.
+    # Closed steps whose record is not confirmed.
     unrecorded: tuple[ClosedStepCheckpoint, ...] = ()
 
     def to_json(self) -> str:
--- a/pistachioglade/trainer/_client.py
+++ b/pistachioglade/trainer/_client.py
@@ -28,13 +28,14 @@
 
 _PATIENCE_S: Final = 120.0
 _TIMEOUT_S: Final = 45.0
-#: Time that a step's end waits for its owner, which answers within milliseconds if it
-#: is well; the trainer has its samples and must not stand still for their record.
+#: Time for which closing a step waits for the owner, in seconds. A healthy owner
+#: answers within milliseconds; the trainer has its samples and must not wait for their
+#: record.
 _CLOSE_TIMEOUT_S: Final = 1.0
 
 
 class ServiceError(Exception):
-    """The service gave a final refusal, or none answered for long."""
+    """Raised for a final refusal, or when no entry answers for a long time."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(f"{refusal.kind.value}: {refusal.reason}")
@@ -43,7 +44,7 @@
 
 @attrs.frozen
 class TrainerSettings:
-    """What a client has to know."""
+    """The settings of a trainer's client."""
 
     # Base URLs of the entries or of the balancer in front of them.
     urls: tuple[str, ...]
@@ -51,23 +52,24 @@
     token: str = attrs.field(repr=False)
     # Model whose weights the trainer publishes.
     model: str = ""
-    # Most versions that a sample may be behind, as the operators declared it.
+    # Maximum number of versions that a sample may be behind, as the operators declare
+    # it.
     staleness_bound_versions: int = 1
-    # Samples in one answer.
+    # Maximum number of samples in one answer.
     batch_samples: int = 64
-    # Longest wait for the next sample in one request.
+    # Maximum wait of one request for the next sample, in seconds.
     wait_s: float = 5.0
 
 
 class TrainerClient:
-    """One trainer's connection to the service; safe to use from threads."""
+    """One trainer's client of the service; thread-safe."""
 
     def __init__(
         self, settings: TrainerSettings, checkpoint: TrainerCheckpoint | None = None
     ) -> None:
         saved = checkpoint or TrainerCheckpoint()
         self._settings = settings
-        # Differs from that of a client before it that had the same checkpoint.
+        # Unique id, which distinguishes clients that start from the same checkpoint.
         self._id = uuid4().hex
         self._entries = EntryClient(settings.urls, settings.token)
         self._lock = threading.RLock()
@@ -92,7 +94,7 @@
     def publish(self, version: int, digest: str, size_bytes: int) -> None:
         """Announce weights that are in the weight store.
 
-        Samples taken from here on are measured against this version.
+        The staleness of samples taken from now on is measured against this version.
         """
         with self._lock:
             self._newest_version = max(self._newest_version, version)
@@ -105,7 +107,7 @@
     def open_step(
         self, step: int, groups: Sequence[Group], max_tokens: int
     ) -> OpenedStep:
-        """Open a step, or go on with it where the checkpoint left off."""
+        """Open a step, or continue the step from the checkpoint."""
         saved = self._saved.pop(step, None)
         opened = OpenedStep(self, step, tuple(groups), max_tokens, saved)
         opened.reopen()
@@ -115,7 +117,7 @@
         return opened
 
     def checkpoint(self) -> TrainerCheckpoint:
-        """Return what has to be saved with the trainer's own state."""
+        """Return the state to save with the trainer's own state."""
         with self._lock:
             steps = tuple(item.checkpoint() for item in self._open.values())
             unrecorded = tuple(
@@ -124,21 +126,22 @@
             return TrainerCheckpoint(self._newest_version, steps, unrecorded)
 
     def settle(self, bound_s: float = 0.0) -> bool:
-        """Make sure that the receipts of closed steps are in the record.
+        """Return whether the records of all closed steps are confirmed.
 
-        A step's owner may die between the last receipt and its record; so the
-        receipts are kept here until the owner says that they are written. The client
-        asks for that by itself; this asks at once, and on until ``bound_s`` is over.
+        A step's owner may fail between the last receipt and the write of its record,
+        so the client keeps the receipts until the owner confirms the write. The client
+        asks for confirmation in the background; this method asks at once and repeats
+        until ``bound_s`` has passed.
         """
         return self._recorder.settle(bound_s)
 
     def close(self) -> None:
-        """Ask for no more records; :meth:`checkpoint` still holds what is left."""
+        """Stop asking for confirmations; :meth:`checkpoint` keeps unconfirmed steps."""
         self._recorder.close()
 
 
 class OpenedStep:
-    """The samples of one step, each exactly once, none beyond the bound."""
+    """The samples of one step, each exactly once and within the staleness bound."""
 
     def __init__(
         self,
@@ -172,9 +175,9 @@
         self.close()
 
     def close(self) -> None:
-        """Tell the owner of the last receipts and forget the step.
+        """Send the last receipts to the owner and remove the step from the open steps.
 
-        A whole step is kept with the client until its record is written.
+        The client keeps a complete step until its record is confirmed.
         """
         client = self._client
         with client._lock:
@@ -187,13 +190,13 @@
 
     @property
     def step(self) -> int:
-        """Number of the step."""
+        """The number of the step."""
         return self._step
 
     def ask_recorded(self, timeout_s: float) -> bool | Refusal:
         """Send the receipts in one try; return whether the owner has written all.
 
-        An owner that doesn't know the step gets it opened again, with all receipts.
+        If the owner doesn't know the step, the step is opened again with all receipts.
         """
         result = self._send_receipts(timeout_s, patience_s=0.0)
         if not isinstance(result, Refusal):
@@ -212,15 +215,15 @@
         return max(0.0, time.time() - self._opened_unix_s)
 
     def checkpoint(self) -> StepCheckpoint:
-        """Return the step's state; samples not yet taken are not in it."""
+        """Return the step's state, which covers only samples that were taken."""
         return StepCheckpoint(self._step, self._opened_unix_s, self._receipts.all())
 
     def closed_checkpoint(self) -> ClosedStepCheckpoint:
-        """Return what it takes to have a closed step recorded."""
+        """Return the state that another client needs to have a closed step recorded."""
         return ClosedStepCheckpoint(self.checkpoint(), self._groups, self._max_tokens)
 
     def reopen(self) -> None:
-        """Open the step at whichever node owns it now, with all receipts."""
+        """Open the step with all receipts at the node that owns the step now."""
         refusal = self._try_reopen(_TIMEOUT_S, _PATIENCE_S)
         if refusal is not None:
             raise ServiceError(refusal)
@@ -243,14 +246,14 @@
         return None
 
     def __iter__(self) -> Iterator[Sample]:
-        """Yield every sample that is still missing."""
+        """Yield every missing sample."""
         while (sample := self.take()) is not None:
             yield sample
 
     def take(self) -> Sample | None:
-        """Return the next sample, or None when the step is whole.
+        """Return the next sample, or None when the step is complete.
 
-        The bound is checked here, under the lock that :meth:`publish` takes.
+        The staleness bound is checked here, under the lock that :meth:`publish` takes.
         """
         while True:
             while self._arrived:
@@ -275,7 +278,7 @@
         return verdict
 
     def _fetch(self) -> None:
-        """Ask for samples; open the step again if its owner has changed."""
+        """Request samples; open the step again if its owner has changed."""
         settings = self._client._settings
         result = self._send_receipts(
             settings.wait_s + _TIMEOUT_S,
--- a/pistachioglade/trainer/_http.py
+++ b/pistachioglade/trainer/_http.py
@@ -1,4 +1,4 @@
-"""Requests to the entries, one after the other until one answers."""
+"""Requests to the entries, tried in turn until one entry answers."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from ..errors import ANSWERS, ErrorKind, Refusal, refuse
 from ..messages import structure
 
-_PAUSE_S: Final = 0.2
+_RETRY_PAUSE_S: Final = 0.2
 
 
 class EntryClient:
-    """HTTP with a bearer token to any of several entries."""
+    """Sends requests with a bearer token to any of several entries."""
 
     def __init__(self, urls: tuple[str, ...], token: str) -> None:
         self._sessions = {url: HttpSession(url) for url in urls}
-        self._turn = cycle(urls)
-        self._url = next(self._turn)
+        self._url_cycle = cycle(urls)
+        self._url = next(self._url_cycle)
         self._token = token
 
     def post(
@@ -34,9 +34,9 @@
         patience_s: float,
         traceparent: str = "",
     ) -> Any | Refusal:
-        """Post JSON until an entry answers; for requests that may be repeated.
+        """Send JSON by POST until an entry answers; only for idempotent requests.
 
-        Without patience there is one try.
+        With ``patience_s`` of 0 there is one try.
         """
         deadline_s = time.monotonic() + patience_s
         headers = {
@@ -45,7 +45,7 @@
             "traceparent": traceparent,
         }
         body = json.dumps(fields).encode()
-        faults_in_row = 0
+        consecutive_faults = 0
         while True:
             reply = self._sessions[self._url].request(
                 "POST", path, timeout_s, body, headers
@@ -55,12 +55,12 @@
                 return reply.json()
             assert refusal is not None
             is_fault = refusal.kind is ErrorKind.INTERNAL
-            faults_in_row = faults_in_row + 1 if is_fault else 0
-            if not may_repeat(refusal, faults_in_row):
+            consecutive_faults = consecutive_faults + 1 if is_fault else 0
+            if not may_repeat(refusal, consecutive_faults):
                 return refusal
-            # Also behind the last try: the next request goes to another entry.
-            self._url = next(self._turn)
-            wait_s = max(_PAUSE_S, refusal.retry_after_s or 0.0)
+            # Also after the last try, so that the next request goes to another entry.
+            self._url = next(self._url_cycle)
+            wait_s = max(_RETRY_PAUSE_S, refusal.retry_after_s or 0.0)
             if time.monotonic() + wait_s >= deadline_s:
                 return refusal
             time.sleep(min(wait_s, 1.0))
@@ -68,7 +68,7 @@
 
 def _refusal_of(reply: HttpReply | Refusal) -> Refusal | None:
     if isinstance(reply, Refusal):
-        return attrs.evolve(reply, retry_after_s=_PAUSE_S)
+        return attrs.evolve(reply, retry_after_s=_RETRY_PAUSE_S)
     if reply.status < 300:
         return None
     try:
--- a/pistachioglade/trainer/_receipts.py
+++ b/pistachioglade/trainer/_receipts.py
@@ -1,4 +1,4 @@
-"""Which samples of a step were taken: the truth about exactly-once delivery."""
+"""The receipts of taken samples, which decide exactly-once delivery."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Verdict(Enum):
-    """What becomes of a sample that arrives."""
+    """The result of offering a received sample."""
 
     TAKEN = "taken"
     DUPLICATE = "duplicate"
@@ -18,7 +18,7 @@
 
 
 class StepReceipts:
-    """The receipts of one step, and those that the owner has to hear yet."""
+    """The receipts of one step, and those that no owner has acknowledged yet."""
 
     def __init__(self, sample_count: int, receipts: Iterable[Receipt] = ()) -> None:
         self._sample_count = sample_count
@@ -32,13 +32,13 @@
         return len(self._receipts) == self._sample_count
 
     def all(self) -> tuple[Receipt, ...]:
-        """Return every receipt, by index."""
+        """Return every receipt, ordered by index."""
         return tuple(self._receipts[index] for index in sorted(self._receipts))
 
     def offer(
         self, sample: Sample, newest_version: int, bound_versions: int, age_s: float
     ) -> Verdict:
-        """Take a sample, or say why not; a taken index is never taken again."""
+        """Take a sample unless its index was taken before or its text is too stale."""
         known = self._receipts.get(sample.index)
         if known is not None or not 0 <= sample.index < self._sample_count:
             if known is not None:
@@ -64,13 +64,13 @@
         return tuple(self._unsent.values())
 
     def rejected(self) -> tuple[int, ...]:
-        """Return the indices thrown away since the last acknowledgement."""
+        """Return the indices of stale samples since the last acknowledgement."""
         return tuple(sorted(self._rejected))
 
     def acknowledged(
         self, receipts: Iterable[Receipt], rejected: Iterable[int]
     ) -> None:
-        """Note that an owner has these receipts and rejections."""
+        """Mark receipts and rejections as acknowledged by an owner."""
         for receipt in receipts:
             self._unsent.pop(receipt.index, None)
         self._rejected.difference_update(rejected)
--- a/pistachioglade/trainer/tests/test_entry_client.py
+++ b/pistachioglade/trainer/tests/test_entry_client.py
@@ -1,10 +1,10 @@
-"""Which answers of the entries a client repeats its request after.
+"""The answers of entries after which a client repeats its request.
 
-What users saw: one request was repeated each second for two minutes while its answer
-was a fault of the program, the same each time, and the trainer stood still meanwhile.
-The cause: a client repeated whatever names a time to come again, and a fault of the
-program does. The evidence: 115 pairs of `step.opened` and `link.handler_failed` for one
-step, one second apart.
+The failure: a client repeats one request each second for two minutes while each answer
+is the same internal error, and the trainer stalls meanwhile; the log has 115 pairs of
+`step.opened` and `link.handler_failed` for one step, one second apart. This happens if
+a client repeats every request whose refusal has a retry time, since internal errors
+have a retry time as well.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class _Clock:
-    """A clock that only pauses move."""
+    """A clock that advances only in :meth:`sleep`."""
 
     def __init__(self) -> None:
         self.now_s = 0.0
@@ -35,7 +35,7 @@
 
 
 class _Session:
-    """Answers each request as told, by its place."""
+    """Answers each request by a function of its number."""
 
     def __init__(self, answer: Callable[[int], HttpReply | Refusal]) -> None:
         self._answer = answer
@@ -59,7 +59,7 @@
 def _post(
     monkeypatch: pytest.MonkeyPatch, answer: Callable[[int], HttpReply | Refusal]
 ) -> tuple[object, int, float]:
-    """Return the outcome, how many requests were made, and the time it took."""
+    """Return the outcome, the number of requests and the time spent, in seconds."""
     clock = _Clock()
     monkeypatch.setattr(_http, "time", clock)
     client = EntryClient(("http://a", "http://b"), "token")
@@ -69,7 +69,7 @@
     return outcome, session.requests, clock.now_s
 
 
-def test_a_fault_of_the_program_is_not_repeated_until_the_patience_ends(
+def test_a_request_with_repeated_internal_errors_ends_after_four_tries(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     outcome, requests, _ = _post(monkeypatch, lambda _: _reply(ErrorKind.INTERNAL))
@@ -78,14 +78,16 @@
     assert requests == 4
 
 
-def test_a_fault_that_passes_is_no_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_request_succeeds_after_transient_internal_errors(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     def answer(number: int) -> HttpReply:
         return HttpReply(200, b"{}", {}) if number == 4 else _reply(ErrorKind.INTERNAL)
 
     assert _post(monkeypatch, answer)[0] == {}
 
 
-def test_faults_between_other_troubles_are_counted_anew(
+def test_another_refusal_resets_the_count_of_internal_errors(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def answer(number: int) -> HttpReply:
@@ -99,7 +101,7 @@
 @pytest.mark.parametrize(
     "kind", [ErrorKind.LINK_LOST, ErrorKind.NO_UPSTREAM, ErrorKind.OVERLOADED]
 )
-def test_trouble_that_may_pass_is_repeated_until_the_patience_ends(
+def test_a_transient_refusal_is_retried_until_the_patience_ends(
     monkeypatch: pytest.MonkeyPatch, kind: ErrorKind
 ) -> None:
     outcome, _, time_s = _post(monkeypatch, lambda _: _reply(kind))
@@ -108,7 +110,7 @@
 
 
 @pytest.mark.parametrize("kind", [ErrorKind.BAD_REQUEST, ErrorKind.UNKNOWN_STEP])
-def test_what_is_final_or_needs_another_request_is_not_repeated(
+def test_a_final_refusal_or_an_unknown_step_is_not_retried(
     monkeypatch: pytest.MonkeyPatch, kind: ErrorKind
 ) -> None:
     outcome, requests, _ = _post(monkeypatch, lambda _: _reply(kind))
--- a/pistachioglade/trainer/tests/test_receipts.py
+++ b/pistachioglade/trainer/tests/test_receipts.py
@@ -1,4 +1,4 @@
-"""Receipts: exactly once, and never beyond the bound."""
+"""Receipts: exactly-once delivery within the staleness bound."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
     return Sample(index, copy, "t", (VersionSpan(version, 3),), "a", "e")
 
 
-def test_a_version_published_while_reading_makes_a_sample_stale() -> None:
+def test_a_sample_is_stale_after_a_newer_version_is_published() -> None:
     receipts = StepReceipts(2)
     assert receipts.offer(_sample(0), 2, 1, 0.0) is Verdict.TAKEN
     assert receipts.offer(_sample(1), 3, 1, 0.0) is Verdict.TOO_STALE
     assert receipts.rejected() == (1,)
 
 
-def test_the_oldest_span_counts() -> None:
+def test_staleness_is_measured_by_the_oldest_span() -> None:
     spans = (VersionSpan(1, 1), VersionSpan(3, 99))
     mixed = Sample(0, "c", "t", spans, "a", "e")
     assert StepReceipts(1).offer(mixed, 3, 1, 0.0) is Verdict.TOO_STALE
 
 
-def test_a_duplicate_makes_its_receipt_go_out_again() -> None:
+def test_the_receipt_of_a_duplicate_is_sent_again() -> None:
     receipts = StepReceipts(1)
     receipts.offer(_sample(0), 1, 0, 0.0)
     sent = receipts.unsent()
@@ -49,7 +49,7 @@
     assert all(item.staleness_versions <= 1 for item in receipts.all())
 
 
-def test_a_checkpoint_comes_back_as_it_was() -> None:
+def test_a_checkpoint_is_unchanged_after_saving_and_loading() -> None:
     receipts = StepReceipts(2)
     receipts.offer(_sample(1), 1, 0, 0.5)
     saved = TrainerCheckpoint(4, (StepCheckpoint(9, 1.5, receipts.all()),))
--- a/pistachioglade/trainer/tests/test_unrecorded.py
+++ b/pistachioglade/trainer/tests/test_unrecorded.py
@@ -1,11 +1,9 @@
-"""The record of a closed step must not hold up the step in hand.
-
-What users saw: while the record of a step that a trainer had closed could not be asked
-for, the trainer got no sample of the next one for two minutes, and then an error that
-ended it. The cause: the client asked for the records of closed steps in the thread that
-takes samples, between two fetches, with the patience and the errors of the step in
-hand. The evidence: the stack of the standing thread, read three times: `take` of step
-5, `settle_now_and_then`, `settle`, `is_recorded`, `reopen`, `EntryClient.post` (pause).
+"""The record of a closed step must not delay the current step.
+
+The failure: while the record of a closed step can't be confirmed, the trainer gets no
+sample of the next step for two minutes, and then an error that ends the trainer. This
+happens if the client asks for the records of closed steps in the thread that takes
+samples, between two fetches, with the patience and the errors of the current step.
 """
 
 from __future__ import annotations
@@ -21,48 +19,48 @@
 from ...messages import Group, Sample, VersionSpan, unstructure
 from .. import TrainerCheckpoint, TrainerClient, TrainerSettings
 
-#: Longest that a test waits; reached only by a client that stands still.
+#: Maximum wait of a test, in seconds; reached only by a client that stalls.
 _BOUND_S = 10.0
 
 
 @attrs.frozen
-class _Trouble:
-    """How the first step is answered for once it is closed."""
+class _Failure:
+    """The answers for the first step after its close."""
 
-    # Answer to what is asked of its record; None: silence.
-    asked: Any
-    # Answer to its being opened again; None: silence.
-    opened: Refusal | None = None
+    # Answer to the request for the record; None for no answer.
+    record_answer: Any
+    # Answer to opening the step again; None for no answer.
+    open_answer: Refusal | None = None
 
 
 class _Entry:
-    """Answers for each step but the first, of which it gives samples only."""
+    """An entry that answers all requests except those for the first step's record."""
 
-    def __init__(self, trouble: _Trouble) -> None:
-        self._trouble = trouble
-        # Set once the first step's record was asked for.
+    def __init__(self, failure: _Failure) -> None:
+        self._failure = failure
+        # Set by a request for the first step's record.
         self.is_asked = threading.Event()
-        # Lets the silent requests end.
+        # Ends the requests without an answer.
         self.released = threading.Event()
-        # Clients whose requests come here.
+        # Clients that use this entry.
         self.clients: list[TrainerClient] = []
-        # Whether the entry is well again.
-        self.is_well = False
+        # Whether the entry answers all requests.
+        self.is_healthy = False
 
     def post(self, path: str, fields: Any, timeout_s: float, *_: Any) -> Any | Refusal:
         parts = path.split("/")
         step = int(parts[3])
         if parts[-1] != "fetch":
-            is_new = step != 1 or not fields["receipts"] or self.is_well
-            return {} if is_new else self._refuse(self._trouble.opened, timeout_s)
-        if step == 1 and not fields["max_samples"] and not self.is_well:
-            return self._refuse(self._trouble.asked, timeout_s)
+            is_new = step != 1 or not fields["receipts"] or self.is_healthy
+            return {} if is_new else self._refuse(self._failure.open_answer, timeout_s)
+        if step == 1 and not fields["max_samples"] and not self.is_healthy:
+            return self._refuse(self._failure.record_answer, timeout_s)
         if step == 2 and not self.is_asked.is_set():
-            # The trainer waits for its second step; the first one's turn comes.
+            # Wait until the client asks for the first step's record.
             self.is_asked.wait(0.2)
             return _batch(step, ())
         samples = (_sample(),) if fields["max_samples"] else ()
-        return _batch(step, samples, is_recorded=self.is_well)
+        return _batch(step, samples, is_recorded=self.is_healthy)
 
     def _refuse(self, answer: Any, timeout_s: float) -> Any:
         self.is_asked.set()
@@ -86,22 +84,22 @@
 
 
 _NOT_OPEN = refuse(ErrorKind.UNKNOWN_STEP, "not open here")
-_TROUBLES = {
-    "silent": _Trouble(None),
-    "unreadable": _Trouble({"step": "one"}),
-    "away": _Trouble(refuse(ErrorKind.LINK_LOST, "no answer")),
-    "opening-silent": _Trouble(_NOT_OPEN, None),
-    "opening-fault": _Trouble(_NOT_OPEN, refuse(ErrorKind.INTERNAL, "KeyError: 1")),
-    "opening-final": _Trouble(_NOT_OPEN, refuse(ErrorKind.NOT_FOUND, "no trainer")),
+_FAILURES = {
+    "silent": _Failure(None),
+    "unreadable": _Failure({"step": "one"}),
+    "away": _Failure(refuse(ErrorKind.LINK_LOST, "no answer")),
+    "opening-silent": _Failure(_NOT_OPEN, None),
+    "opening-fault": _Failure(_NOT_OPEN, refuse(ErrorKind.INTERNAL, "KeyError: 1")),
+    "opening-final": _Failure(_NOT_OPEN, refuse(ErrorKind.NOT_FOUND, "no trainer")),
 }
 
 
-@pytest.fixture(params=_TROUBLES.values(), ids=_TROUBLES)
+@pytest.fixture(params=_FAILURES.values(), ids=_FAILURES)
 def entry(request: pytest.FixtureRequest) -> Iterator[_Entry]:
-    made = _Entry(request.param)
-    yield made
-    made.released.set()
-    for client in made.clients:
+    started = _Entry(request.param)
+    yield started
+    started.released.set()
+    for client in started.clients:
         client.close()
 
 
@@ -119,14 +117,14 @@
 
 
 def _start(client: TrainerClient, step: int) -> threading.Event:
-    """Take a step in a thread, which a client that stands still doesn't end."""
+    """Take a step in a thread; return an event that is set at the step's end."""
     taken = threading.Event()
     work = threading.Thread(target=_take, args=(client, step, taken), daemon=True)
     work.start()
     return taken
 
 
-def test_the_step_in_hand_is_taken_while_a_record_is_not_answered(
+def test_the_current_step_continues_while_a_record_is_not_confirmed(
     entry: _Entry,
 ) -> None:
     client = _client(entry)
@@ -138,12 +136,12 @@
     assert 1 in [item.state.step for item in client.checkpoint().unrecorded]
 
 
-def test_a_record_is_asked_for_until_it_is_there(entry: _Entry) -> None:
+def test_a_record_is_requested_until_confirmed(entry: _Entry) -> None:
     client = _client(entry)
     assert _start(client, 1).wait(_BOUND_S)
     entry.is_asked.wait(_BOUND_S)
     saved = client.checkpoint()
-    entry.is_well = True
+    entry.is_healthy = True
     entry.released.set()
     assert client.settle(_BOUND_S)
     assert client.checkpoint().unrecorded == ()
