--- a/pistachioglade/controllers/_facts.py
+++ b/pistachioglade/controllers/_facts.py
@@ -1,4 +1,4 @@
-"""The facts on every node's blackboard."""
+"""Blackboard topics that every node has."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
     RootSnapshot,
 )
 
-#: The root in force here, with its parts; None before there is one.
+#: The root in force on this node, with its parts; None before the first root.
 ROOT: Final = Topic[RootSnapshot | None]("root", None)
-#: The configuration that the root names.
+#: The configuration of the root in force; None before the first root.
 CONFIG: Final = Topic[ServiceConfig | None]("config", None)
 #: The newest published weights of each model.
 NEWEST: Final = Topic[Mapping[str, ModelVersion]]("newest", MappingProxyType({}))
@@ -29,9 +29,9 @@
 
 
 def usable_agents(board: Blackboard, upstream: str) -> tuple[MemberRecord, ...]:
-    """Return the agents of an upstream that new work may go to.
+    """Return the agents of an upstream that may get new work.
 
-    Suspected agents are left out while there are others.
+    Suspected agents are included only if no agent is alive.
     """
     agents = [
         record
--- a/pistachioglade/controllers/_membership.py
+++ b/pistachioglade/controllers/_membership.py
@@ -1,4 +1,4 @@
-"""Keeps the table of members: heartbeats on ring links, news passed on."""
+"""Maintains the member table: heartbeats on ring links and gossip of changes."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
 _HEARTBEAT_TIMEOUT_S: Final = 1.0
 _FLUSH_INTERVAL_S: Final = 0.05
 _JOIN_PAUSE_S: Final = 0.5
-#: Listed addresses that are tried in one round.
-_JOIN_TRIES: Final = 4
-#: Records in one message of news.
-_NEWS_BATCH: Final = 200
+#: Maximum number of listed addresses tried in one round.
+_MAX_JOIN_TRIES: Final = 4
+#: Maximum number of records in one message of changes.
+_MAX_CHANGES: Final = 200
 
 
 class MembershipController:
-    """The one writer of :data:`MEMBERS`."""
+    """Maintains the member table; the only writer of :data:`MEMBERS`."""
 
     def __init__(
         self,
@@ -59,47 +59,47 @@
         self._instances = instances
         self._table = Membership(own)
         self._rng = random.Random(f"{own.node}/{own.incarnation}")
-        self._news: dict[str, MemberRecord] = {}
-        self._has_news = asyncio.Event()
-        self._heard_s: dict[str, float] = {}
+        self._changes: dict[str, MemberRecord] = {}
+        self._has_changes = asyncio.Event()
+        self._last_heard_s: dict[str, float] = {}
         self._last_peer_s = time.monotonic()
         self._publish()
 
     @property
     def own(self) -> MemberRecord:
-        """The statement of this node about itself."""
+        """The record that this node publishes about itself."""
         return self._table.own
 
     def _publish(self) -> None:
         table = {record.node: record for record in self._table.records()}
         self._board.write(MEMBERS, MappingProxyType(table))
 
-    def _spread(self, records: Iterable[MemberRecord]) -> None:
-        news = {record.node: record for record in records}
-        if news:
-            self._news.update(news)
-            self._has_news.set()
+    def _queue_changes(self, records: Iterable[MemberRecord]) -> None:
+        changes = {record.node: record for record in records}
+        if changes:
+            self._changes.update(changes)
+            self._has_changes.set()
             self._publish()
 
-    def take(self, records: Iterable[MemberRecord]) -> None:
-        """Take statements in; news goes on to the peers."""
-        self._spread(self._table.merge(records, time.monotonic()))
+    def merge_records(self, records: Iterable[MemberRecord]) -> None:
+        """Merge records into the table and pass changes on to the peers."""
+        self._queue_changes(self._table.merge(records, time.monotonic()))
 
     def declare_leaving(self) -> None:
-        """Tell everybody that this node is leaving."""
-        self._spread([self._table.declare_leaving(time.monotonic())])
+        """Announce to all members that this node is leaving."""
+        self._queue_changes([self._table.declare_leaving(time.monotonic())])
 
-    def peer_is_heard(self, node: str) -> None:
-        """Note that a peer spoke to this node."""
+    def record_peer_contact(self, node: str) -> None:
+        """Record that a message of a peer arrived."""
         self._last_peer_s = time.monotonic()
-        self._heard_s[node] = self._last_peer_s
+        self._last_heard_s[node] = self._last_peer_s
 
     def silence_s(self) -> float:
-        """Return the time since any peer was heard."""
+        """Return the time since the last message of any peer, in seconds."""
         return time.monotonic() - self._last_peer_s
 
     def address_of(self, node: str) -> str:
-        """Return the link address of a member; empty if it has none."""
+        """Return the link address of a member; empty if unknown."""
         record = self._table.get(node)
         return record.address if record else ""
 
@@ -111,22 +111,25 @@
         ]
 
     def finger_records(self) -> list[MemberRecord]:
-        """Return the members that this node keeps links to."""
+        """Return the members to which this node keeps links."""
         peers = {record.node: record for record in self._live_peers()}
         return [peers[node] for node in fingers(peers, self.own.node)]
 
     async def run(self) -> None:
-        """Join, then keep the table for as long as the process runs."""
+        """Join the other nodes and maintain the table until cancelled."""
         await asyncio.gather(
-            self._keep_joined(), self._heartbeats(), self._digests(), self._flushes()
+            self._keep_joined(),
+            self._heartbeats(),
+            self._digests(),
+            self._send_changes(),
         )
 
     async def _keep_joined(self) -> None:
-        """Find members that nobody here knows of, or that were given up.
+        """Find members that no known peer knows, or that were declared dead.
 
-        Nodes that start together may form islands, and regions that lost each
-        other count each other as dead. So listed addresses without a live member
-        are tried from time to time, even when there are peers.
+        Nodes that start together may form separate partitions, and partitions that
+        lost contact declare each other dead. So listed addresses without a live
+        member are tried at intervals, even if this node has peers.
         """
         while True:
             await self._join()
@@ -140,9 +143,9 @@
             return
         known = {record.address for record in self._live_peers()}
         addresses = {item.link_address for item in listed if item.link_address}
-        strangers = sorted(addresses - known - {self.own.address})
-        self._rng.shuffle(strangers)
-        for address in strangers[:_JOIN_TRIES]:
+        unknown = sorted(addresses - known - {self.own.address})
+        self._rng.shuffle(unknown)
+        for address in unknown[:_MAX_JOIN_TRIES]:
             if await self._compare_with(address):
                 return
 
@@ -151,20 +154,20 @@
         answer = await self._pool.call(address, message, _HEARTBEAT_TIMEOUT_S)
         if not isinstance(answer, DigestReply):
             return False
-        own_side = self._table.in_buckets(answer.buckets)
-        self.take(answer.records)
-        if own_side:
-            records = BucketRecords(own_side)
+        own_records = self._table.in_buckets(answer.buckets)
+        self.merge_records(answer.records)
+        if own_records:
+            records = BucketRecords(own_records)
             await self._pool.call(address, records, _HEARTBEAT_TIMEOUT_S)
         await self._root.fetch_from_peer(address, answer.generation)
         return True
 
     def answer_digest(self, message: Digest) -> DigestReply:
-        """Answer a peer that compares its table with this one."""
+        """Return this table's buckets that differ from a peer's digest."""
         own = self._table.buckets()
         differing = tuple(
-            place
-            for place, pair in enumerate(zip(own, message.buckets, strict=False))
+            index
+            for index, pair in enumerate(zip(own, message.buckets, strict=False))
             if pair[0] != pair[1]
         )
         records = self._table.in_buckets(differing)
@@ -181,26 +184,26 @@
 
     async def _heartbeat(self, peer: MemberRecord) -> None:
         now_s = time.monotonic()
-        self._heard_s.setdefault(peer.node, now_s)
+        self._last_heard_s.setdefault(peer.node, now_s)
         message = RootOffer(self._root.generation)
         answer = await self._pool.call(peer.address, message, _HEARTBEAT_TIMEOUT_S)
         if isinstance(answer, RootOffer):
-            self.peer_is_heard(peer.node)
+            self.record_peer_contact(peer.node)
             await self._root.fetch_from_peer(peer.address, answer.generation)
             return
-        silent_s = time.monotonic() - self._heard_s[peer.node]
+        silent_s = time.monotonic() - self._last_heard_s[peer.node]
         if silent_s >= self._settings.suspect_after_s:
             record = self._table.suspect(peer.node, time.monotonic())
             if record is not None:
                 _log.warning("member.suspected", member=peer.node)
-                self._spread([record])
+                self._queue_changes([record])
 
     def _expire(self) -> None:
-        deaths = self._table.expire(time.monotonic(), self._settings.dead_after_s)
-        for record in deaths:
+        expired = self._table.expire(time.monotonic(), self._settings.dead_after_s)
+        for record in expired:
             _log.warning("member.dead", member=record.node)
-            self._heard_s.pop(record.node, None)
-        self._spread(deaths)
+            self._last_heard_s.pop(record.node, None)
+        self._queue_changes(expired)
 
     async def _drop_unused_links(self) -> None:
         dead = {
@@ -221,23 +224,23 @@
                 await self._compare_with(peers[turn % len(peers)].address)
                 turn += 1
 
-    async def _flushes(self) -> None:
-        """Pass news on, a little later, so that more of it travels together."""
+    async def _send_changes(self) -> None:
+        """Send changes to the peers after a short delay, to batch several changes."""
         while True:
-            await self._has_news.wait()
+            await self._has_changes.wait()
             await asyncio.sleep(_FLUSH_INTERVAL_S)
-            batch = list(self._news.values())[:_NEWS_BATCH]
+            batch = list(self._changes.values())[:_MAX_CHANGES]
             for record in batch:
-                self._news.pop(record.node, None)
-            if not self._news:
-                self._has_news.clear()
-            await self._tell_peers(MemberChanges(tuple(batch)))
+                self._changes.pop(record.node, None)
+            if not self._changes:
+                self._has_changes.clear()
+            await self._send_to_peers(MemberChanges(tuple(batch)))
 
     async def announce_root(self, generation: int) -> None:
-        """Offer a new generation to every peer on the ring."""
-        await self._tell_peers(RootOffer(generation))
+        """Offer a new root generation to every linked peer."""
+        await self._send_to_peers(RootOffer(generation))
 
-    async def _tell_peers(self, message: MemberChanges | RootOffer) -> None:
+    async def _send_to_peers(self, message: MemberChanges | RootOffer) -> None:
         peers = self.finger_records()
         calls = [
             self._pool.call(peer.address, message, _HEARTBEAT_TIMEOUT_S)
--- a/pistachioglade/controllers/_node.py
+++ b/pistachioglade/controllers/_node.py
@@ -1,4 +1,4 @@
-"""What entries and agents have in common, wired together."""
+"""The components that entries and agents share."""
 
 from __future__ import annotations
 
@@ -30,13 +30,14 @@
 
 _log = logger(__name__)
 
-#: Time without a peer after which a node asks the object API itself.
-_SILENT_S: Final = 5.0
-_STORE_PAUSE_S: Final = 0.5
+#: Time without a message of a peer after which a node reads the root from the object
+#: API, in seconds.
+_PEER_SILENCE_BOUND_S: Final = 5.0
+_ROOT_POLL_INTERVAL_S: Final = 0.5
 
 
 class Node:
-    """The core of a process: links, membership and configuration."""
+    """The shared components of a process: links, membership and configuration."""
 
     def __init__(self, settings: NodeSettings, role: NodeRole, upstream: str) -> None:
         self.settings = settings
@@ -69,7 +70,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def admission(self) -> Refusal | None:
-        """Return why this node takes no new work now; None if it does."""
+        """Return a refusal if this node takes no new work now; None otherwise."""
         if self.board.read(LEAVING):
             return refuse(ErrorKind.LEAVING, f"{self.settings.node} is leaving")
         if self.board.read(CONFIG) is None:
@@ -80,18 +81,18 @@
         return None
 
     def _silence_s(self) -> float:
-        """Return the time since a peer or the object API was heard."""
+        """Return the time since the last contact with a peer or the object API."""
         return min(self.membership.silence_s(), self.root.silence_s())
 
     @singledispatchmethod
     async def handle(self, message: Any, peer: Peer) -> Any:
-        """Answer a message that every node understands."""
+        """Answer a message that every node type supports."""
         name = type(message).__name__
         return refuse(ErrorKind.BAD_REQUEST, f"{name} is not for this node")
 
     @handle.register
     async def _(self, message: RootOffer, peer: Peer) -> Any:
-        self.membership.peer_is_heard(peer.node)
+        self.membership.record_peer_contact(peer.node)
         address = self.membership.address_of(peer.node)
         if message.generation > self.root.generation and address:
             self.spawn(self.root.fetch_from_peer(address, message.generation))
@@ -103,46 +104,46 @@
 
     @handle.register
     async def _(self, message: MemberChanges, peer: Peer) -> Any:
-        self.membership.take(message.records)
+        self.membership.merge_records(message.records)
         return Acknowledged()
 
     @handle.register
     async def _(self, message: BucketRecords, peer: Peer) -> Any:
-        self.membership.take(message.records)
+        self.membership.merge_records(message.records)
         return Acknowledged()
 
     @handle.register
     async def _(self, message: Digest, peer: Peer) -> Any:
-        self.membership.peer_is_heard(peer.node)
+        self.membership.record_peer_contact(peer.node)
         return self.membership.answer_digest(message)
 
     def spawn(self, work: Any) -> asyncio.Task[Any]:
-        """Run ``work`` beside the node, until it ends or the node closes."""
+        """Run ``work`` as a task until ``work`` ends or the node closes."""
         task: asyncio.Task[Any] = asyncio.create_task(work)
         self._tasks.append(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_end)
         return task
 
-    def _ended(self, task: asyncio.Task[Any]) -> None:
+    def _on_task_end(self, task: asyncio.Task[Any]) -> None:
         if task in self._tasks:
             self._tasks.remove(task)
         if not task.cancelled() and task.exception() is not None:
             _log.error("task.failed", exc_info=task.exception())
 
     async def start(self, server: LinkServer) -> None:
-        """Listen, join and get a root."""
+        """Listen for peers, join the other nodes and fetch the root."""
         settings = self.settings
         await server.start(settings.listen_address or settings.link_address)
         self.spawn(self.membership.run())
         self.spawn(self._keep_root_known())
 
     async def _keep_root_known(self) -> None:
-        """Ask the object API while no root is known or no peer speaks."""
+        """Poll the object API while no root is known or no peer sends messages."""
         while True:
-            is_silent = self.membership.silence_s() > _SILENT_S
+            is_silent = self.membership.silence_s() > _PEER_SILENCE_BOUND_S
             if self.root.generation == 0 or is_silent:
                 await self.root.fetch_from_store()
-            await asyncio.sleep(_STORE_PAUSE_S)
+            await asyncio.sleep(_ROOT_POLL_INTERVAL_S)
 
     def leave(self) -> None:
         """Declare that this node is leaving; idempotent."""
@@ -152,7 +153,7 @@
             self.membership.declare_leaving()
 
     async def close(self) -> None:
-        """Stop what runs beside the node and close its links."""
+        """Cancel the tasks and close the links and traces of this node."""
         for task in tuple(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/pistachioglade/controllers/_program.py
+++ b/pistachioglade/controllers/_program.py
@@ -1,4 +1,4 @@
-"""How every node's program starts."""
+"""The start of every node's program."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from ..config import NodeSettings, SettingsError, load_settings
 from ..telemetry import configure_logs
 
-#: Exit code for settings that can't be used.
+#: Exit code for invalid settings.
 EXIT_SETTINGS: Final = 2
 
 
 class _Settings(Protocol):
     @property
     def common(self) -> NodeSettings:
-        """What every node has."""
+        """The settings that every node has."""
 
 
 S = TypeVar("S", bound=_Settings)
@@ -32,7 +32,7 @@
     serve: Callable[[S], Awaitable[None]],
     only_check: bool,
 ) -> None:
-    """Read the settings and serve; end with a message if they can't be used."""
+    """Read the settings and serve; exit with a message if the settings are invalid."""
 
     async def run(settings: S) -> None:
         await serve(settings)
--- a/pistachioglade/controllers/_root.py
+++ b/pistachioglade/controllers/_root.py
@@ -1,4 +1,4 @@
-"""Brings the root to this node and passes it on; takes higher generations only."""
+"""Fetches, applies and announces the root; accepts only higher generations."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 _WATCH_WAIT_S: Final = 20.0
 _WATCH_PAUSE_S: Final = 0.5
 
-#: Tells the peers of this node which generation it has.
+#: Announces this node's generation to its peers.
 Announce = Callable[[int], Awaitable[None]]
 
 
 class RootController:
-    """The one writer of :data:`ROOT`, :data:`CONFIG` and :data:`NEWEST`."""
+    """The only writer of :data:`ROOT`, :data:`CONFIG` and :data:`NEWEST`."""
 
     def __init__(
         self, board: Blackboard, pool: LinkPool, api: ObjectApi, store: RootStore
@@ -43,17 +43,17 @@
         self._last_read_s = time.monotonic()
 
     def on_change(self, announce: Announce) -> None:
-        """Name what is called after each change."""
+        """Set the function that is called after each change of the root."""
         self._announce = announce
 
     @property
     def generation(self) -> int:
-        """The generation in force here; 0 before there is one."""
+        """The generation in force here; 0 before the first root."""
         snapshot = self._board.read(ROOT)
         return snapshot.root.generation if snapshot else 0
 
     def silence_s(self) -> float:
-        """Return the time since the object API was read."""
+        """Return the time since the last read from the object API, in seconds."""
         return time.monotonic() - self._last_read_s
 
     def known_parts(self) -> dict[str, str]:
@@ -62,7 +62,7 @@
         return dict(snapshot.parts) if snapshot else {}
 
     def answer_fetch(self, message: FetchRoot) -> RootSnapshot | Refusal:
-        """Answer a peer that asks for the root."""
+        """Return the root to a peer, without the parts that the peer knows."""
         snapshot = self._board.read(ROOT)
         if snapshot is None:
             return refuse(ErrorKind.NO_CONFIG, "no root is known here")
@@ -83,45 +83,45 @@
             message = FetchRoot(tuple(known))
             answer = await self._pool.call(address, message, _FETCH_TIMEOUT_S)
             if isinstance(answer, RootSnapshot):
-                await self.adopt(answer.root, known | answer.parts)
+                await self.apply_root(answer.root, known | answer.parts)
 
     async def fetch_from_store(self) -> None:
         """Fetch the root from the object API."""
         root = await asyncio.to_thread(self._store.read)
         if isinstance(root, RootState):
             self._last_read_s = time.monotonic()
-            await self.take(root)
+            await self.apply_stored_root(root)
 
-    async def take(self, root: RootState) -> None:
-        """Take a root that the object API holds."""
+    async def apply_stored_root(self, root: RootState) -> None:
+        """Apply a root of the object API, reading the parts that are missing here."""
         if root.generation <= self.generation:
             return
         known = self.known_parts()
         snapshot = await asyncio.to_thread(self._store.snapshot, root, known)
         if isinstance(snapshot, RootSnapshot):
-            await self.adopt(snapshot.root, snapshot.parts)
+            await self.apply_root(snapshot.root, snapshot.parts)
 
-    async def adopt(self, root: RootState, parts: dict[str, str]) -> None:
-        """Put a root in force, if it is higher and whole."""
+    async def apply_root(self, root: RootState, parts: dict[str, str]) -> None:
+        """Apply a root if its generation is higher and its parts are complete."""
         if root.generation <= self.generation:
             return
-        config = _whole_config(root, parts)
+        config = _parse_config(root, parts)
         if config is None:
             _log.warning("root.incomplete", generation=root.generation)
             return
-        kept = {digest: parts[digest] for digest in root.parts.values()}
+        current_parts = {digest: parts[digest] for digest in root.parts.values()}
         self._board.write(CONFIG, config)
         self._board.write(NEWEST, MappingProxyType(dict(root.models)))
-        self._board.write(ROOT, RootSnapshot(root, kept))
+        self._board.write(ROOT, RootSnapshot(root, current_parts))
         _log.info("root.adopted", generation=root.generation)
         if self._announce is not None:
             await self._announce(root.generation)
 
     def watch(self) -> None:
-        """Follow the root in the object API, for as long as the process runs.
+        """Watch the root in the object API until the process ends.
 
-        The waiting happens in a daemon thread: a planned stop must not wait for
-        the answer of a watch.
+        The watch runs in a daemon thread, since a planned stop must not wait for the
+        answer of a watch.
         """
         loop = asyncio.get_running_loop()
         thread = threading.Thread(target=self._watch, args=(loop,), daemon=True)
@@ -133,11 +133,11 @@
             found = self._api.watch(ROOT_PATH, version, _WATCH_WAIT_S)
             if isinstance(found, StoredObject):
                 version = found.version
-                self._fetch_soon(loop)
+                self._schedule_fetch(loop)
             elif isinstance(found, Refusal):
                 time.sleep(_WATCH_PAUSE_S)
 
-    def _fetch_soon(self, loop: asyncio.AbstractEventLoop) -> None:
+    def _schedule_fetch(self, loop: asyncio.AbstractEventLoop) -> None:
         if loop.is_closed():
             return
         work = self.fetch_from_store()
@@ -147,15 +147,15 @@
             work.close()
 
 
-def _whole_config(root: RootState, parts: dict[str, str]) -> ServiceConfig | None:
-    """Return the configuration, or None unless every part is there and intact."""
+def _parse_config(root: RootState, parts: dict[str, str]) -> ServiceConfig | None:
+    """Return the configuration; None if a part is missing or has a wrong digest."""
     texts = {name: parts.get(digest) for name, digest in root.parts.items()}
-    whole = {name: text for name, text in texts.items() if text is not None}
-    intact = all(digest_of(text) == root.parts[name] for name, text in whole.items())
-    if len(whole) != len(texts) or not intact:
+    present = {name: text for name, text in texts.items() if text is not None}
+    intact = all(digest_of(text) == root.parts[name] for name, text in present.items())
+    if len(present) != len(texts) or not intact:
         return None
     try:
-        return config_from_parts(whole)
+        return config_from_parts(present)
     except Exception:  # cattrs groups errors of any type
         _log.exception("root.unreadable", generation=root.generation)
         return None
--- a/pistachioglade/controllers/tests/test_membership.py
+++ b/pistachioglade/controllers/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership over fake links: joining, islands, suspicion, refutation."""
+"""Membership over fake links: joining, partitions, suspicion, refutation."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
         if isinstance(message, Digest):
             return node.answer_digest(message)
         if isinstance(message, BucketRecords | MemberChanges):
-            node.take(message.records)
+            node.merge_records(message.records)
         return RootOffer(0)
 
     def addresses(self) -> tuple[str, ...]:
@@ -56,7 +56,7 @@
 
 
 class FakeList:
-    """The instance list as each test wants it."""
+    """An instance list with given addresses."""
 
     def __init__(self, addresses: list[str]) -> None:
         self.instances = tuple(Instance(item, item, False) for item in addresses)
@@ -65,7 +65,9 @@
         return self.instances
 
 
-def make(network: FakeNetwork, name: str, listed: FakeList) -> MembershipController:
+def create_node(
+    network: FakeNetwork, name: str, listed: FakeList
+) -> MembershipController:
     settings = NodeSettings(
         name,
         "a",
@@ -95,46 +97,46 @@
     return {record.node: record.state for record in node._table.records()}
 
 
-async def until(is_so: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     async with asyncio.timeout(30):
-        while not is_so():
+        while not condition():
             await asyncio.sleep(0.02)
 
 
-def run(scene: Callable[[FakeNetwork, FakeList], Awaitable[None]]) -> None:
+def run(scenario: Callable[[FakeNetwork, FakeList], Awaitable[None]]) -> None:
     listed = FakeList([f"n{number}" for number in range(6)])
-    asyncio.run(asyncio.wait_for(scene(FakeNetwork(), listed), 60))  # type: ignore
+    asyncio.run(asyncio.wait_for(scenario(FakeNetwork(), listed), 60))  # type: ignore
 
 
-def test_islands_that_formed_at_the_start_find_each_other() -> None:
-    async def scene(network: FakeNetwork, listed: FakeList) -> None:
-        nodes = [make(network, f"n{number}", listed) for number in range(6)]
+def test_partitions_that_formed_at_the_start_merge() -> None:
+    async def scenario(network: FakeNetwork, listed: FakeList) -> None:
+        nodes = [create_node(network, f"n{number}", listed) for number in range(6)]
         left, right = nodes[:3], nodes[3:]
-        for island in (left, right):
-            for node in island:
-                node.take([peer.own for peer in island])
+        for partition in (left, right):
+            for node in partition:
+                node.merge_records([peer.own for peer in partition])
         tasks = [asyncio.create_task(node.run()) for node in nodes]
-        await until(lambda: all(len(states(node)) == 6 for node in nodes))
+        await wait_until(lambda: all(len(states(node)) == 6 for node in nodes))
         for task in tasks:
             task.cancel()
 
-    run(scene)
+    run(scenario)
 
 
-def test_a_silent_member_dies_and_one_that_wakes_lives_again() -> None:
-    async def scene(network: FakeNetwork, listed: FakeList) -> None:
-        nodes = [make(network, f"n{number}", listed) for number in range(4)]
+def test_a_silent_member_is_declared_dead_and_is_alive_after_its_return() -> None:
+    async def scenario(network: FakeNetwork, listed: FakeList) -> None:
+        nodes = [create_node(network, f"n{number}", listed) for number in range(4)]
         tasks = [asyncio.create_task(node.run()) for node in nodes]
-        await until(lambda: all(len(states(node)) == 4 for node in nodes))
+        await wait_until(lambda: all(len(states(node)) == 4 for node in nodes))
         network.down.add("n2")
         tasks[2].cancel()
-        await until(lambda: states(nodes[0])["n2"] is MemberState.DEAD)
+        await wait_until(lambda: states(nodes[0])["n2"] is MemberState.DEAD)
         network.down.clear()
         tasks[2] = asyncio.create_task(nodes[2].run())
-        await until(
+        await wait_until(
             lambda: all(states(node)["n2"] is MemberState.ALIVE for node in nodes)
         )
         for task in tasks:
             task.cancel()
 
-    run(scene)
+    run(scenario)
--- a/pistachioglade/controllers/tests/test_root.py
+++ b/pistachioglade/controllers/tests/test_root.py
@@ -1,4 +1,4 @@
-"""The root controller takes whole roots of higher generations only."""
+"""The root controller applies only complete roots of higher generations."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 
 def _generations(offers: list[tuple[int, dict[str, str]]]) -> list[int]:
-    """Offer roots one after the other; return the generation after each."""
+    """Offer roots in order; return the generation in force after each offer."""
     board = Blackboard()
     controller = RootController(board, None, None, None)  # type: ignore[arg-type]
     seen = []
 
-    async def scene() -> None:
+    async def offer_all() -> None:
         for generation, parts in offers:
-            await controller.adopt(_root(generation), parts)
+            await controller.apply_root(_root(generation), parts)
             seen.append(controller.generation)
 
-    asyncio.run(scene())
+    asyncio.run(offer_all())
     assert (board.read(CONFIG) is None) == (board.read(ROOT) is None)
     return seen
 
@@ -48,7 +48,7 @@
         ([(1, _PARTS), (2, {}), (3, _PARTS)], [1, 1, 3]),
     ],
 )
-def test_generations(
+def test_only_complete_roots_of_higher_generations_are_applied(
     offers: list[tuple[int, dict[str, str]]], expected: list[int]
 ) -> None:
     assert _generations(offers) == expected
--- a/pistachioglade/entry/_publish.py
+++ b/pistachioglade/entry/_publish.py
@@ -46,7 +46,7 @@
 
         root = await asyncio.to_thread(self._node.store.commit, change)
         if isinstance(root, RootState):
-            await self._node.root.take(root)
+            await self._node.root.apply_stored_root(root)
         return root
 
     async def apply(self, text: str, base_generation: int | None) -> Applied | Refusal:
@@ -93,7 +93,7 @@
         if isinstance(root, Refusal):
             return root
         started_s = time.monotonic()
-        await self._node.root.take(root)
+        await self._node.root.apply_stored_root(root)
         spent_s = time.monotonic() - started_s
         _log.info("config.applied", generation=root.generation, adopt_s=spent_s)
         return Applied(root.generation, changed=True)
