--- a/pistachioglade/ctl/_client.py
+++ b/pistachioglade/ctl/_client.py
@@ -1,4 +1,4 @@
-"""The administration API, as the command line uses it."""
+"""Client of the administration API for the command line."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 @attrs.frozen
 class AdminError(Exception):
-    """A request that was refused, or that nobody answered."""
+    """Raised when a request is refused or gets no answer."""
 
-    # Error kind of the refusal.
+    # Error kind of the refusal or of the failed connection.
     kind: ErrorKind
-    # What happened.
+    # Reason in plain text.
     reason: str
 
     def __str__(self) -> str:
@@ -26,7 +26,10 @@
 
 
 class AdminClient:
-    """Asks the first entry that answers."""
+    """Sends each request to the named entries in order, until one entry answers.
+
+    A write is sent to the next entry only if the failed attempt did not run.
+    """
 
     def __init__(self, urls: tuple[str, ...], token: str) -> None:
         self._sessions = [HttpSession(url) for url in urls]
@@ -40,14 +43,14 @@
                 method, f"/admin/v1/{path}", _TIMEOUT_S, body, self._headers
             )
             if isinstance(reply, HttpReply):
-                return _answer(reply)
+                return _decode_answer(reply)
             last = reply
             if not reply.did_not_run and method != "GET":
                 break
         raise AdminError(last.kind, last.reason)
 
 
-def _answer(reply: HttpReply) -> Any:
+def _decode_answer(reply: HttpReply) -> Any:
     try:
         fields = reply.json()
         if reply.status < 300:
--- a/pistachioglade/ctl/_program.py
+++ b/pistachioglade/ctl/_program.py
@@ -1,7 +1,7 @@
-"""The operators' program.
+"""Command line for operators.
 
-Exit codes: 0 done, 1 refused or not reached, 2 wrong usage or a faulty file,
-3 the outcome is not known, 4 applied and not yet in force everywhere.
+Exit codes: 0 success, 1 refused or unreachable, 2 wrong usage or an invalid file,
+3 outcome unknown, 4 applied and not yet in force at every node.
 """
 
 from __future__ import annotations
@@ -33,20 +33,20 @@
     summarise,
 )
 from ._client import AdminClient, AdminError
-from ._story import read_log_lines, story_of
-from ._trace import read_spans, render_trace, slowest_trace
+from ._story import read_log_lines, render_story
+from ._trace import find_slowest_trace, read_spans, render_trace
 
 EXIT_REFUSED: Final = 1
 EXIT_FAULTY: Final = 2
 EXIT_UNKNOWN: Final = 3
-EXIT_NOT_EVERYWHERE: Final = 4
+EXIT_NOT_IN_FORCE: Final = 4
 _POLL_S: Final = 0.2
 _RETRY_PAUSE_S: Final = 1.0
 _UNKNOWN_KINDS: Final = frozenset({ErrorKind.PLATFORM_UNCERTAIN, ErrorKind.LINK_LOST})
 
 
-def _reports_errors(command: Callable[..., None]) -> Callable[..., None]:
-    """Turn a refusal into a message on standard error and an exit code."""
+def _exit_on_error(command: Callable[..., None]) -> Callable[..., None]:
+    """Report a refusal as a message on standard error and an exit code."""
 
     @wraps(command)
     def wrapper(*arguments: Any, **options: Any) -> None:
@@ -64,7 +64,7 @@
 
 
 class _Context:
-    """Options of every command."""
+    """Options that all commands share."""
 
     def __init__(self, urls: tuple[str, ...], token_file: str, output: str) -> None:
         self._urls = urls
@@ -114,8 +114,8 @@
         raise SettingsError(f"{path}: {error}") from error
 
 
-def _checked_file(path: str) -> str:
-    """Return the text of a declarative file that has no fault."""
+def _read_valid_file(path: str) -> str:
+    """Return the text of a declarative file; raises SettingsError if it is invalid."""
     text = _read_file(path)
     _config, faults = check_document(text)
     if faults:
@@ -126,7 +126,7 @@
 @main.command("check")
 @click.argument("path")
 @click.pass_obj
-@_reports_errors
+@_exit_on_error
 def _check(context: _Context, path: str) -> None:
     """Check a declarative file; name every fault with its line and field."""
     _config, faults = check_document(_read_file(path))
@@ -143,25 +143,25 @@
         sys.exit(EXIT_FAULTY)
 
 
-def _as_yaml(sections: dict[str, Any]) -> list[str]:
+def _to_yaml_lines(sections: dict[str, Any]) -> list[str]:
     return yaml.safe_dump(sections, sort_keys=True).splitlines()
 
 
 @main.command("diff")
 @click.argument("path")
 @click.pass_obj
-@_reports_errors
+@_exit_on_error
 def _diff(context: _Context, path: str) -> None:
     """Show what applying a file would change."""
-    config, _faults = check_document(_checked_file(path))
+    config, _faults = check_document(_read_valid_file(path))
     assert config is not None
     parts = config_to_parts(config)
     wanted = {name: json.loads(text) for name, text in parts.items()}
     current = context.client().call("GET", "config")
     lines = list(
         difflib.unified_diff(
-            _as_yaml(current["config"]),
-            _as_yaml(wanted),
+            _to_yaml_lines(current["config"]),
+            _to_yaml_lines(wanted),
             f"generation {current['generation']}",
             path,
             lineterm="",
@@ -181,27 +181,30 @@
     help="Refuse unless this generation is in force.",
 )
 @click.pass_obj
-@_reports_errors
+@_exit_on_error
 def _apply(
     context: _Context, path: str, wait_s: float, base_generation: int | None
 ) -> None:
     """Put a file in force, whole or not at all; safe to repeat."""
-    text = _checked_file(path)
+    text = _read_valid_file(path)
     client = context.client()
-    applied = _apply_settled(client, text, base_generation, wait_s)
+    applied = _apply_with_retries(client, text, base_generation, wait_s)
     generation = int(applied["generation"])
-    behind = _wait_everywhere(client, generation, wait_s)
+    behind = _wait_until_in_force(client, generation, wait_s)
     fields = {**applied, "not_in_force_at": behind}
     where = f"not yet at {', '.join(behind)}" if behind else "everywhere"
     context.show(fields, f"generation {generation} in force {where}")
     if behind:
-        sys.exit(EXIT_NOT_EVERYWHERE)
+        sys.exit(EXIT_NOT_IN_FORCE)
 
 
-def _apply_settled(
+def _apply_with_retries(
     client: AdminClient, text: str, base_generation: int | None, wait_s: float
 ) -> Any:
-    """Apply a file; after a lost answer, ask again, which changes nothing twice."""
+    """Apply a file; retry after a lost answer, since applying is idempotent.
+
+    A request with a base generation is not retried.
+    """
     query = "" if base_generation is None else f"?base_generation={base_generation}"
     deadline_s = time.monotonic() + wait_s
     while True:
@@ -215,8 +218,10 @@
             time.sleep(_RETRY_PAUSE_S)
 
 
-def _wait_everywhere(client: AdminClient, generation: int, wait_s: float) -> list[str]:
-    """Wait for a generation; return the nodes that don't have it by then."""
+def _wait_until_in_force(
+    client: AdminClient, generation: int, wait_s: float
+) -> list[str]:
+    """Wait for a generation; return the live nodes that lack it after ``wait_s``."""
     deadline_s = time.monotonic() + wait_s
     while True:
         nodes = client.call("GET", "status")["nodes"]
@@ -236,14 +241,14 @@
 
 @main.command("status")
 @click.pass_obj
-@_reports_errors
+@_exit_on_error
 def _status(context: _Context) -> None:
     """Show the nodes: state, generation, weights, load."""
     fields = context.client().call("GET", "status")
-    context.show(fields, "\n".join(_status_lines(fields)))
+    context.show(fields, "\n".join(_render_status(fields)))
 
 
-def _status_lines(fields: dict[str, Any]) -> list[str]:
+def _render_status(fields: dict[str, Any]) -> list[str]:
     newest = ", ".join(f"{name}: {number}" for name, number in fields["models"].items())
     lines = [f"generation {fields['generation']}; newest weights {newest or 'none'}"]
     for node in fields["nodes"]:
@@ -265,7 +270,7 @@
 @main.command("drain")
 @click.argument("node")
 @click.pass_obj
-@_reports_errors
+@_exit_on_error
 def _drain(context: _Context, node: str) -> None:
     """Tell a node to leave: no new work, finish what runs, then end."""
     fields = context.client().call("POST", f"drain/{node}")
@@ -288,7 +293,7 @@
     help="Log file of a serving program, instead of asking an entry; repeatable.",
 )
 @click.pass_obj
-@_reports_errors
+@_exit_on_error
 def _report(
     context: _Context,
     since_unix_s: float,
@@ -298,7 +303,7 @@
 ) -> None:
     """Report who got what, from which versions, how late, what was refused."""
     if paths:
-        report = _report_of_logs(paths, since_unix_s, until_unix_s)
+        report = _report_from_logs(paths, since_unix_s, until_unix_s)
     else:
         path = f"report?since_unix_s={since_unix_s}"
         if until_unix_s is not None:
@@ -321,7 +326,7 @@
     help="Log file of a serving program; repeatable.",
 )
 @click.pass_obj
-@_reports_errors
+@_exit_on_error
 def _losses(context: _Context, paths: tuple[str, ...]) -> None:
     """Show where late steps and failed calls lost their time."""
     losses = losses_from_logs(read_log_lines(map(Path, paths)))
@@ -331,10 +336,10 @@
         click.echo(render_losses(losses))
 
 
-def _report_of_logs(
+def _report_from_logs(
     paths: tuple[str, ...], since_unix_s: float, until_unix_s: float | None
 ) -> Report:
-    """Build the report from what the serving programs have logged."""
+    """Build the report from the serving programs' log files."""
     logged = records_from_logs(read_log_lines(map(Path, paths)))
     until_s = logged.until_unix_s if until_unix_s is None else until_unix_s
     steps = [
@@ -349,7 +354,7 @@
 @click.argument("path")
 @click.option("--trace-id", default="", help="Trace to show; the slowest by default.")
 @click.pass_obj
-@_reports_errors
+@_exit_on_error
 def _trace(context: _Context, path: str, trace_id: str) -> None:
     """Show the hops of one request from a file of spans."""
     try:
@@ -358,7 +363,7 @@
         raise SettingsError(f"{path}: {error}") from error
     if not spans:
         raise SettingsError(f"{path}: has no spans")
-    chosen = trace_id or slowest_trace(spans)
+    chosen = trace_id or find_slowest_trace(spans)
     lines = render_trace(spans, chosen)
     context.show({"trace_id": chosen, "hops": lines}, "\n".join([chosen, *lines]))
 
@@ -370,10 +375,10 @@
 @click.argument("subject")
 @_LOG_FILES
 @click.pass_obj
-@_reports_errors
+@_exit_on_error
 def _story(context: _Context, subject: str, paths: tuple[str, ...]) -> None:
     """Show each decision about a request, job, item or instance from log files."""
-    lines = list(story_of(read_log_lines(map(Path, paths)), subject))
+    lines = list(render_story(read_log_lines(map(Path, paths)), subject))
     if not lines:
-        raise SettingsError(f"{subject}: no line names it")
+        raise SettingsError(f"{subject}: no log line names this subject")
     context.show({"subject": subject, "lines": lines}, "\n".join(lines))
--- a/pistachioglade/ctl/_story.py
+++ b/pistachioglade/ctl/_story.py
@@ -1,4 +1,4 @@
-"""Reads the serving programs' logs, and shows one request's story from them."""
+"""Reads the serving programs' logs and shows the lines about one subject."""
 
 from __future__ import annotations
 
@@ -10,28 +10,29 @@
 from ..config import SettingsError
 from ..report import LogLine
 
-#: Fields that every line has and that the story shows in columns of their own.
-_COLUMNS: Final = frozenset(
+#: Fields that are omitted from a line's details: each is a column or the same for
+#: every line of a program.
+_OMITTED_FIELDS: Final = frozenset(
     {"timestamp", "node", "program", "event", "level", "module"}
 )
-#: Fields that name what a line is about.
-_SUBJECTS: Final = ("request", "job", "item", "instance", "entry")
+#: Fields that name the subject of a line.
+_SUBJECT_FIELDS: Final = ("request", "job", "item", "instance", "entry")
 
 
 def read_log_lines(paths: Iterable[Path]) -> list[LogLine]:
-    """Return the lines of several processes in the order of their times."""
+    """Return the log lines of several processes, sorted by time."""
     lines: list[LogLine] = []
     for path in paths:
         try:
             texts = path.read_text(encoding="utf-8", errors="replace").splitlines()
         except OSError as error:
             raise SettingsError(f"{path}: {error}") from error
-        lines.extend(line for text in texts if (line := _parse(text)) is not None)
+        lines.extend(line for text in texts if (line := _parse_line(text)) is not None)
     return sorted(lines, key=lambda line: str(line.get("timestamp", "")))
 
 
-def _parse(text: str) -> LogLine | None:
-    """Return a line's fields; None for output that is none of our lines."""
+def _parse_line(text: str) -> LogLine | None:
+    """Return a line's fields; None for output that is not a log line."""
     start = text.find("{")
     if start < 0:
         return None
@@ -42,15 +43,17 @@
     return fields if isinstance(fields, dict) and "event" in fields else None
 
 
-def story_of(lines: Iterable[LogLine], subject: str) -> Iterator[str]:
+def render_story(lines: Iterable[LogLine], subject: str) -> Iterator[str]:
     """Return a line for each decision about a request, job, item or instance."""
     for line in lines:
-        if subject not in (line.get(name) for name in _SUBJECTS):
+        if subject not in (line.get(name) for name in _SUBJECT_FIELDS):
             continue
         details = " ".join(
             f"{name}={value}"
             for name, value in line.items()
-            if name not in _COLUMNS and value not in ("", None) and value != subject
+            if name not in _OMITTED_FIELDS
+            and value not in ("", None)
+            and value != subject
         )
         time = str(line.get("timestamp", ""))[11:23]
         yield f"{time} {line.get('node', '')} {line['event']} {details}".rstrip()
--- a/pistachioglade/ctl/_trace.py
+++ b/pistachioglade/ctl/_trace.py
@@ -1,4 +1,4 @@
-"""Shows one request's hops from a file of spans."""
+"""Shows the hops of one request from a file of spans."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     return [json.loads(line) for line in lines if line.strip()]
 
 
-def slowest_trace(spans: Iterable[Span]) -> str:
-    """Return the id of the trace whose longest span is the longest of all."""
+def find_slowest_trace(spans: Iterable[Span]) -> str:
+    """Return the id of the trace that contains the longest span."""
     longest = max(spans, key=lambda span: float(span["duration_s"]))
     return str(longest["trace_id"])
 
@@ -31,10 +31,12 @@
     for span in sorted(chosen, key=lambda item: float(item["start_unix_s"])):
         parent = span["parent_id"] if span["parent_id"] in known else ""
         children[parent].append(span)
-    return list(_lines(children, "", 0))
+    return list(_render_children(children, "", 0))
 
 
-def _lines(children: dict[str, list[Span]], parent: str, depth: int) -> Iterator[str]:
+def _render_children(
+    children: dict[str, list[Span]], parent: str, depth: int
+) -> Iterator[str]:
     for span in children[parent]:
         details = " ".join(
             f"{key}={value}" for key, value in span["attributes"].items()
@@ -42,4 +44,4 @@
         duration_ms = float(span["duration_s"]) * 1000
         indent = "  " * depth
         yield f"{indent}{span['name']} {duration_ms:.2f} ms {span['node']} {details}"
-        yield from _lines(children, str(span["span_id"]), depth + 1)
+        yield from _render_children(children, str(span["span_id"]), depth + 1)
--- a/pistachioglade/ctl/tests/__init__.py
+++ b/pistachioglade/ctl/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the operators' command line."""
--- a/pistachioglade/ctl/tests/test_report_of_logs.py
+++ b/pistachioglade/ctl/tests/test_report_of_logs.py
@@ -16,22 +16,24 @@
     return {"event": event, "timestamp": f"2026-01-01T00:00:{second:02d}Z", **fields}
 
 
-def _made(second: int, item: str, versions: list[int]) -> dict[str, Any]:
-    made = {"job": "j", "item": item, "instance": "i-1", "versions": versions}
-    return _line(second, "item-tried", outcome="complete", events=9, tokens=90, **made)
+def _completed(second: int, item: str, versions: list[int]) -> dict[str, Any]:
+    fields = {"job": "j", "item": item, "instance": "i-1", "versions": versions}
+    return _line(
+        second, "item-tried", outcome="complete", events=9, tokens=90, **fields
+    )
 
 
 _LINES = [
     _line(1, "job-accepted", job="j", model="m", step=3, items=5, node="b"),
-    # The same job again, at another entry.
+    # Another entry accepts the same job.
     _line(1, "job-accepted", job="j", model="m", step=3, items=5, node="a"),
     _line(1, "job-run-begun", job="j", node="b"),
     _line(2, "version-named", model="m", version=4),
     _line(2, "item-tried", job="j", item="i", outcome="broken", events=2),
-    _made(3, "i", [3, 4]),
-    _made(4, "k", [4]),
-    # Whole, and the step ended before it was listed.
-    _made(5, "n", [4]),
+    _completed(3, "i", [3, 4]),
+    _completed(4, "k", [4]),
+    # Completed item that the step's end leaves unlisted.
+    _completed(5, "n", [4]),
     _line(5, "item-given-up", job="j", item="g", reason="422"),
     _line(6, "results-listed", job="j", results=3, items=["i", "k", "g"]),
     _line(7, "call-tried", request="r", route="app", outcome=503, took_s=0.1),
@@ -53,11 +55,11 @@
     arguments = ["--output", "json", "report", *_files(folder)]
     result = CliRunner().invoke(main, arguments)
     assert result.exit_code == 0, result.output
-    made: dict[str, Any] = json.loads(result.output)
-    return made
+    report: dict[str, Any] = json.loads(result.output)
+    return report
 
 
-def test_who_got_what_from_which_versions_and_how_late(tmp_path: Path) -> None:
+def test_trainer_report_has_samples_versions_and_lateness(tmp_path: Path) -> None:
     trainer = _report(tmp_path)["trainers"][0]
     assert trainer["trainer"] == "m"
     assert (trainer["asked"], trainer["delivered"]) == (5, 2)
@@ -71,27 +73,27 @@
     assert trainer["steps"][0]["owners"] == ["b"]
 
 
-def test_what_callers_got_and_what_was_refused(tmp_path: Path) -> None:
+def test_caller_report_has_answers_and_refusals(tmp_path: Path) -> None:
     (caller,) = _report(tmp_path)["callers"]
     assert (caller["caller"], caller["answered"]) == ("app", 1)
     assert caller["refusals"] == {"full: x": 1}
     assert caller["p50_s"] == pytest.approx(0.3, rel=0.02)
 
 
-def test_lines_that_were_dropped_are_a_gap(tmp_path: Path) -> None:
+def test_dropped_log_lines_are_reported_as_gap(tmp_path: Path) -> None:
     gaps = _report(tmp_path)["gaps"]
     assert gaps == [{"node": "b", "reason": "3 log lines were dropped"}]
 
 
 @pytest.mark.parametrize("form", ["table", "csv", "html"])
-def test_every_form_is_made(form: str, tmp_path: Path) -> None:
+def test_report_is_rendered_in_every_form(form: str, tmp_path: Path) -> None:
     arguments = ["report", "--form", form, *_files(tmp_path)]
     result = CliRunner().invoke(main, arguments)
     assert result.exit_code == 0, result.output
     assert "m" in result.output
 
 
-def test_a_span_leaves_other_steps_out(tmp_path: Path) -> None:
+def test_steps_outside_the_span_are_omitted(tmp_path: Path) -> None:
     arguments = ["--output", "json", "report", "--since-unix-s", "4e9"]
     result = CliRunner().invoke(main, [*arguments, *_files(tmp_path)])
     assert json.loads(result.output)["trainers"] == []
--- a/pistachioglade/ctl/tests/test_story.py
+++ b/pistachioglade/ctl/tests/test_story.py
@@ -1,4 +1,4 @@
-"""Stories from log files."""
+"""The ``story`` command on log files."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from .. import main
 
 _LINES = [
-    # Lines of two processes, out of order, between output that is none of ours.
+    # Lines of two processes, out of order and mixed with other output.
     {"event": "job-accepted", "job": "j", "model": "m", "items": 2, "node": "b"}
     | {"timestamp": "2026-01-01T00:00:01.000Z"},
     {"event": "item-tried", "job": "j", "item": "i", "outcome": "broken"}
@@ -36,7 +36,7 @@
     return [str(first), str(second)]
 
 
-def test_a_story_is_in_the_order_of_time(tmp_path: Path) -> None:
+def test_story_lines_are_sorted_by_time(tmp_path: Path) -> None:
     result = CliRunner().invoke(main, ["story", "i", *_files(tmp_path)])
     assert result.exit_code == 0
     lines = result.output.splitlines()
@@ -45,13 +45,13 @@
     assert "outcome=complete" in lines[1]
 
 
-def test_a_subject_that_no_line_names(tmp_path: Path) -> None:
+def test_unknown_subject_exits_with_code_2(tmp_path: Path) -> None:
     result = CliRunner().invoke(main, ["story", "nobody", *_files(tmp_path)])
     assert result.exit_code == 2
     assert "nobody" in result.output
 
 
-def test_a_file_that_is_not_there(tmp_path: Path) -> None:
+def test_missing_log_file_exits_with_code_2(tmp_path: Path) -> None:
     result = CliRunner().invoke(main, ["report", "--logs", str(tmp_path / "none.log")])
     assert result.exit_code == 2
     assert "none.log" in result.output
--- a/pistachioglade/report/__init__.py
+++ b/pistachioglade/report/__init__.py
@@ -1,4 +1,4 @@
-"""The report: who got what, from which versions, how late, what was refused."""
+"""Reports of samples, weight versions, lateness, refusals and lost time."""
 
 from ._build import (
     CallerReport,
--- a/pistachioglade/report/_build.py
+++ b/pistachioglade/report/_build.py
@@ -1,4 +1,4 @@
-"""Builds the report from what owners and entries have written."""
+"""Builds the report from the records that owners and entries write."""
 
 from __future__ import annotations
 
@@ -19,9 +19,10 @@
 
 #: Upper edges of the lateness histogram.
 LATENESS_EDGES_S: Final = (1, 2, 5, 10, 20, 60, 300, 1620)
-#: Lowest and highest time of a latency histogram in microseconds, and its digits.
+#: Lowest and highest time of a latency histogram in microseconds, and its
+#: significant digits.
 LATENCY_RANGE_US: Final = (1, 3_600_000_000, 2)
-_MICROS: Final = 1e6
+_MICROSECONDS_PER_S: Final = 1e6
 
 
 @attrs.frozen
@@ -30,17 +31,18 @@
 
     # Number of the step.
     step: int
-    # When the trainer opened it.
+    # Time at which the trainer opened the step, in seconds since the epoch.
     opened_unix_s: float
     # Samples asked for.
     asked: int
-    # Samples that the trainer has receipted.
+    # Samples that the trainer acknowledged with a receipt.
     delivered: int
-    # Time from the opening to the last receipt.
+    # Time from the opening to the last receipt, in seconds.
     last_receipt_s: float
-    # Weight version to the number of samples that it made a token of.
+    # Weight version to the number of samples with at least one token from the
+    # version.
     versions: dict[str, int]
-    # Nodes that owned the step, one after the other.
+    # Nodes that owned the step, ordered by their number of receipts.
     owners: tuple[str, ...]
 
 
@@ -50,7 +52,7 @@
 
     # Name of the trainer.
     trainer: str
-    # Share promised of its upstreams, in percent; None if none is declared.
+    # Declared share of the upstreams' tokens, in percent; None if none is declared.
     share_promised_percent: float | None
     # Share received of the tokens delivered to all trainers, in percent.
     share_received_percent: float
@@ -60,21 +62,23 @@
     delivered: int
     # Tokens delivered.
     tokens: int
-    # Weight version to the number of samples that it made a token of.
+    # Weight version to the number of samples with at least one token from the
+    # version.
     versions: dict[str, int]
     # Staleness in versions to the number of samples.
     staleness_versions: dict[str, int]
-    # Upper edge in seconds to the number of samples that came within it.
+    # Upper edge of a histogram bin in seconds to the number of samples in the bin.
     lateness_s: dict[str, int]
-    # Mean lateness; None without samples.
+    # Mean lateness in seconds; None without samples.
     lateness_mean_s: float | None
-    # "kind: reason", or kind for samples, to the number of refusals.
+    # "kind: reason" for requests, or the error kind for samples, to the number of
+    # refusals.
     refusals: dict[str, int]
-    # Reason to tokens that were made and not delivered.
+    # Reason to the number of tokens that were generated and not delivered.
     wasted_tokens: dict[str, int]
-    # The steps.
+    # Steps in ascending order of their numbers.
     steps: tuple[StepReport, ...]
-    # Steps between the first and the last of which no record is left.
+    # Numbers between the first and the last step that have no record.
     missing_steps: tuple[int, ...]
 
 
@@ -84,48 +88,48 @@
 
     # Name of the caller.
     caller: str
-    # Its kind.
+    # Kind of the caller.
     kind: str
     # Requests that were answered.
     answered: int
     # "kind: reason" to the number of refusals.
     refusals: dict[str, int]
-    # Answer time that half of the requests stayed within.
+    # Median answer time in seconds; None without answers.
     p50_s: float | None
-    # Answer time that 99 of 100 requests stayed within.
+    # 99th percentile of answer times in seconds; None without answers.
     p99_s: float | None
 
 
 @attrs.frozen
 class Gap:
-    """A span for which an entry's counts are missing."""
+    """Records that are missing from the report."""
 
-    # Entry and incarnation.
+    # Trainer or node whose records are missing.
     node: str
-    # What is missing.
+    # Description of the missing records.
     reason: str
 
 
 @attrs.frozen
 class Report:
-    """Who got what."""
+    """All trainers and callers over one span of time."""
 
-    # Start of the span.
+    # Start of the span, in seconds since the epoch.
     since_unix_s: float
-    # End of the span.
+    # End of the span, in seconds since the epoch.
     until_unix_s: float
-    # Trainers by name.
+    # Trainers, sorted by name.
     trainers: tuple[TrainerReport, ...]
-    # Callers by name.
+    # Callers, sorted by name.
     callers: tuple[CallerReport, ...]
-    # What is known to be missing.
+    # Records that are known to be missing.
     gaps: tuple[Gap, ...]
 
 
 def build_report(
     api: ObjectApi, config: ServiceConfig, since_unix_s: float, until_unix_s: float
 ) -> Report | Refusal:
-    """Read the records of a span and add them up."""
+    """Read the records of a span from the object API and return their sums."""
     ledger = api.list("ledger/")
     if isinstance(ledger, Refusal):
         return ledger
@@ -154,7 +158,7 @@
     since_unix_s: float,
     until_unix_s: float,
 ) -> Report:
-    """Add records up; ``shares_percent`` holds the shares promised to trainers."""
+    """Sum up records; ``shares_percent`` holds the declared share of each trainer."""
     by_trainer: dict[str, list[StepRecord]] = defaultdict(list)
     for record in records:
         by_trainer[record.trainer].append(record)
@@ -162,34 +166,34 @@
     for span in spans:
         by_caller[span.caller].append(span)
     tokens = {
-        name: sum(map(_token_count, merge_receipts(items).values()))
+        name: sum(map(_count_tokens, merge_receipts(items).values()))
         for name, items in by_trainer.items()
     }
     total = sum(tokens.values())
     trainers = tuple(
-        _trainer_report(
+        _build_trainer_report(
             shares_percent.get(name), name, by_trainer[name], by_caller[name], total
         )
         for name in sorted(by_trainer)
     )
     callers = tuple(
-        _caller_report(name, items)
+        _build_caller_report(name, items)
         for name, items in sorted(by_caller.items())
         if items and items[0].caller_kind != "trainer"
     )
-    gaps = tuple(_gaps(trainers))
+    gaps = tuple(_find_gaps(trainers))
     return Report(since_unix_s, until_unix_s, trainers, callers, gaps)
 
 
-def _token_count(receipt: Receipt) -> int:
+def _count_tokens(receipt: Receipt) -> int:
     return sum(span.token_count for span in receipt.spans)
 
 
 def merge_receipts(records: Iterable[StepRecord]) -> dict[tuple[int, int], Receipt]:
-    """Return the one receipt of each sample, whichever owners recorded it.
+    """Return one receipt for each step and sample index, across all owners.
 
-    A trainer that went back to its checkpoint may have taken another copy later;
-    the later one counts.
+    A trainer that restores its checkpoint may take another copy of a sample later;
+    the receipt of the latest copy wins.
     """
     pairs = sorted(
         (
@@ -202,16 +206,16 @@
     return dict(pairs)
 
 
-def _versions(receipts: Iterable[Receipt]) -> dict[str, int]:
-    made = Counter(
+def _count_versions(receipts: Iterable[Receipt]) -> dict[str, int]:
+    samples = Counter(
         version
         for receipt in receipts
         for version in {span.version for span in receipt.spans}
     )
-    return {str(version): made[version] for version in sorted(made)}
+    return {str(version): samples[version] for version in sorted(samples)}
 
 
-def _trainer_report(
+def _build_trainer_report(
     share_percent: float | None,
     name: str,
     records: Sequence[StepRecord],
@@ -219,8 +223,8 @@
     total_tokens: int,
 ) -> TrainerReport:
     receipts = list(merge_receipts(records).values())
-    steps = _step_reports(records)
-    tokens = sum(map(_token_count, receipts))
+    steps = _build_step_reports(records)
+    tokens = sum(map(_count_tokens, receipts))
     lateness = [receipt.lateness_s for receipt in receipts]
     staleness = Counter(receipt.staleness_versions for receipt in receipts)
     refusals = _sum_counts(
@@ -236,9 +240,9 @@
         asked=sum(step.asked for step in steps),
         delivered=len(receipts),
         tokens=tokens,
-        versions=_versions(receipts),
+        versions=_count_versions(receipts),
         staleness_versions={str(key): staleness[key] for key in sorted(staleness)},
-        lateness_s=_lateness_histogram(lateness),
+        lateness_s=_count_lateness(lateness),
         lateness_mean_s=fmean(lateness) if lateness else None,
         refusals=refusals,
         wasted_tokens=_sum_counts(record.wasted_tokens for record in records),
@@ -256,7 +260,7 @@
     return dict(sorted(total.items()))
 
 
-def _lateness_histogram(lateness: Sequence[float]) -> dict[str, int]:
+def _count_lateness(lateness: Sequence[float]) -> dict[str, int]:
     edges = (0, *LATENESS_EDGES_S)
     counts = {
         str(high): sum(low < value <= high for value in lateness)
@@ -266,14 +270,14 @@
     return counts
 
 
-def _step_reports(records: Sequence[StepRecord]) -> tuple[StepReport, ...]:
+def _build_step_reports(records: Sequence[StepRecord]) -> tuple[StepReport, ...]:
     by_step: dict[int, list[StepRecord]] = defaultdict(list)
     for record in records:
         by_step[record.step].append(record)
-    return tuple(_step_report(step, by_step[step]) for step in sorted(by_step))
+    return tuple(_build_step_report(step, by_step[step]) for step in sorted(by_step))
 
 
-def _step_report(step: int, records: Sequence[StepRecord]) -> StepReport:
+def _build_step_report(step: int, records: Sequence[StepRecord]) -> StepReport:
     receipts = list(merge_receipts(records).values())
     ordered = sorted(records, key=lambda record: len(record.receipts))
     return StepReport(
@@ -282,12 +286,12 @@
         asked=max(record.sample_count for record in records),
         delivered=len(receipts),
         last_receipt_s=max((receipt.lateness_s for receipt in receipts), default=0.0),
-        versions=_versions(receipts),
+        versions=_count_versions(receipts),
         owners=tuple(record.owner for record in ordered),
     )
 
 
-def _caller_report(name: str, spans: Sequence[UsageRecord]) -> CallerReport:
+def _build_caller_report(name: str, spans: Sequence[UsageRecord]) -> CallerReport:
     latency = HdrHistogram(*LATENCY_RANGE_US)
     for span in spans:
         latency.decode_and_add(span.latency_hdr.encode())
@@ -303,10 +307,10 @@
 
 
 def _percentile_s(latency: HdrHistogram, percent: float) -> float:
-    return float(latency.get_value_at_percentile(percent)) / _MICROS
+    return float(latency.get_value_at_percentile(percent)) / _MICROSECONDS_PER_S
 
 
-def _gaps(trainers: Iterable[TrainerReport]) -> Iterable[Gap]:
+def _find_gaps(trainers: Iterable[TrainerReport]) -> Iterable[Gap]:
     return [
         Gap(trainer.trainer, f"no record of step {step} is left")
         for trainer in trainers
--- a/pistachioglade/report/_files.py
+++ b/pistachioglade/report/_files.py
@@ -25,7 +25,7 @@
 
 
 def render_csv(report: Report) -> str:
-    """Return a line for each trainer, step and weight version."""
+    """Return CSV with a row for each trainer, step and weight version."""
     buffer = io.StringIO()
     writer = csv.writer(buffer)
     writer.writerow(_CSV_HEADER)
@@ -67,7 +67,7 @@
 
 
 def render_html(report: Report) -> str:
-    """Return a page that needs no other file."""
+    """Return the report as one HTML page without external resources."""
     staleness = {item.trainer: item.staleness_versions for item in report.trainers}
     lateness = {item.trainer: item.lateness_s for item in report.trainers}
     charts = [
--- a/pistachioglade/report/_from_logs.py
+++ b/pistachioglade/report/_from_logs.py
@@ -1,7 +1,7 @@
-"""The report's records from the serving programs' log lines.
+"""Rebuilds the report's records from the serving programs' log lines.
 
-Their lines name each job, each try of a sample, each listed batch and each refusal, so
-that a day's report needs nothing but the logs of all processes.
+The log lines name each job, each attempt at a sample, each listed batch and each
+refusal, so the logs of all processes are enough for a report.
 """
 
 from __future__ import annotations
@@ -20,72 +20,72 @@
 
 LogLine = dict[str, Any]
 
-#: What became of the tokens of a sample that was whole and never listed.
-_UNLISTED: Final = "made whole and not listed before the step's end"
-_MICROS: Final = 1e6
+#: Waste reason for the tokens of a sample that was completed and never listed.
+_UNLISTED_REASON: Final = "made whole and not listed before the step's end"
+_MICROSECONDS_PER_S: Final = 1e6
 
 
 @attrs.frozen
 class LoggedRecords:
-    """What log lines say of a span of time."""
+    """Records that the log lines of a span of time contain."""
 
-    # Steps, one record each.
+    # One record for each step.
     steps: tuple[StepRecord, ...]
-    # Use of each route by callers.
+    # One record for each route that callers used.
     usage: tuple[UsageRecord, ...]
-    # Lines that are missing.
+    # Nodes whose log lines were dropped.
     gaps: tuple[Gap, ...]
-    # Time of the first line.
+    # Time of the first line, in seconds since the epoch.
     since_unix_s: float
-    # Time of the last line.
+    # Time of the last line, in seconds since the epoch.
     until_unix_s: float
 
 
 @attrs.define
-class _Made:
-    # Tokens of the whole text.
+class _CompletedItem:
+    # Number of tokens of the completed text.
     tokens: int
-    # Weight versions that made an event of it.
+    # Weight versions that generated at least one event of the text.
     versions: tuple[int, ...]
-    # Versions that it was behind the newest.
+    # Number of versions between the oldest version in the text and the newest one.
     staleness: int
-    # When it was whole.
-    made_s: float
-    # Instance that made its end.
+    # Time of completion, in seconds since the epoch.
+    completed_s: float
+    # Instance that generated the last event.
     instance: str
 
 
 @attrs.define
 class _Step:
-    # Trainer's model.
+    # Model of the trainer.
     model: str
     # Number of the step.
     step: int
-    # When it was accepted.
+    # Time of the job's acceptance, in seconds since the epoch.
     opened_s: float
-    # Items that it asked for.
+    # Number of items in the job.
     items: int
-    # Entry that ran it last.
+    # Entry that ran the job last.
     owner: str = ""
-    # Whole texts by item.
-    made: dict[str, _Made] = attrs.field(factory=dict)
-    # When each item was listed.
+    # Completed texts by item.
+    completed: dict[str, _CompletedItem] = attrs.field(factory=dict)
+    # Time at which each item was first listed, in seconds since the epoch.
     listed_s: dict[str, float] = attrs.field(factory=dict)
-    # Items that were given up, by reason.
+    # Reason for each item that was given up, by item.
     given_up: dict[str, str] = attrs.field(factory=dict)
 
 
 @attrs.define
-class _Use:
-    # Time spent on tries, by request.
+class _RouteUsage:
+    # Time spent on attempts in seconds, by request.
     took_s: dict[str, float] = attrs.field(factory=lambda: defaultdict(float))
-    # Requests whose last try brought an answer.
+    # Requests with an attempt that got an answer.
     answered: set[str] = attrs.field(factory=set)
-    # Refusals by kind and reason.
+    # "kind: reason" to the number of refusals.
     refused: Counter[str] = attrs.field(factory=Counter)
 
 
-def unix_s(line: LogLine) -> float:
+def line_unix_s(line: LogLine) -> float:
     """Return the time of a line, in seconds since the epoch; 0 if it has none."""
     try:
         return datetime.fromisoformat(str(line["timestamp"])).timestamp()
@@ -93,84 +93,86 @@
         return 0.0
 
 
-class _Reader:
-    """Takes lines in the order of their times."""
+class _LogReader:
+    """Collects steps, route usage and gaps from log lines sorted by time."""
 
     def __init__(self) -> None:
         self.steps: dict[str, _Step] = {}
-        self.uses: dict[str, _Use] = defaultdict(_Use)
+        self.usage_by_route: dict[str, _RouteUsage] = defaultdict(_RouteUsage)
         self.dropped: Counter[str] = Counter()
-        self._newest: dict[str, int] = {}
+        self._newest_version: dict[str, int] = {}
 
-    def take(self, line: LogLine) -> None:
+    def process_line(self, line: LogLine) -> None:
         job = self.steps.get(str(line.get("job", "")))
         match line["event"]:
             case "job-accepted":
-                self._accepted(line)
+                self._add_step(line)
             case "version-named":
                 model, version = str(line["model"]), int(line["version"])
-                self._newest[model] = max(version, self._newest.get(model, 0))
+                self._newest_version[model] = max(
+                    version, self._newest_version.get(model, 0)
+                )
             case "job-run-begun" if job is not None:
                 job.owner = str(line.get("node", ""))
             case "item-tried" if job is not None and line["outcome"] == "complete":
-                self._made(job, line)
+                self._add_completed(job, line)
             case "results-listed" if job is not None:
                 for item in line.get("items", ()):
-                    job.listed_s.setdefault(str(item), unix_s(line))
+                    job.listed_s.setdefault(str(item), line_unix_s(line))
             case "item-given-up" if job is not None:
                 job.given_up[str(line["item"])] = str(line["reason"])
             case "call-tried" | "stream-tried":
-                self._tried(line)
+                self._add_attempt(line)
             case "request-refused":
-                use = self.uses[str(line.get("route") or "no route")]
-                use.refused[f"{line['kind']}: {line.get('reason', '')}"] += 1
+                route_usage = self.usage_by_route[str(line.get("route") or "no route")]
+                route_usage.refused[f"{line['kind']}: {line.get('reason', '')}"] += 1
             case "lines-dropped":
                 self.dropped[str(line.get("node", ""))] += int(line["count"])
 
-    def _accepted(self, line: LogLine) -> None:
+    def _add_step(self, line: LogLine) -> None:
         job_id = str(line["job"])
         if job_id not in self.steps:
             self.steps[job_id] = _Step(
                 str(line["model"]),
                 int(line.get("step", 0)),
-                unix_s(line),
+                line_unix_s(line),
                 int(line["items"]),
             )
 
-    def _made(self, job: _Step, line: LogLine) -> None:
+    def _add_completed(self, job: _Step, line: LogLine) -> None:
         versions = tuple(int(version) for version in line["versions"])
-        newest = self._newest.get(job.model, max(versions, default=0))
-        job.made[str(line["item"])] = _Made(
+        newest = self._newest_version.get(job.model, max(versions, default=0))
+        job.completed[str(line["item"])] = _CompletedItem(
             int(line["tokens"]),
             versions,
             max(0, newest - min(versions, default=newest)),
-            unix_s(line),
+            line_unix_s(line),
             str(line.get("instance", "")),
         )
 
-    def _tried(self, line: LogLine) -> None:
-        use = self.uses[str(line["route"])]
+    def _add_attempt(self, line: LogLine) -> None:
+        route_usage = self.usage_by_route[str(line["route"])]
         request = str(line["request"])
-        use.took_s[request] += float(line["took_s"])
+        route_usage.took_s[request] += float(line["took_s"])
         outcome = line["outcome"]
-        is_answer = outcome == "whole" or isinstance(outcome, int)
-        if is_answer and outcome not in (500, 502, 503, 504):
-            use.answered.add(request)
+        has_answer = outcome == "whole" or isinstance(outcome, int)
+        if has_answer and outcome not in (500, 502, 503, 504):
+            route_usage.answered.add(request)
 
 
 def records_from_logs(lines: Iterable[LogLine]) -> LoggedRecords:
-    """Return the records that the lines of all processes make up, in time's order."""
-    reader = _Reader()
+    """Return the records in the lines of all processes, which come sorted by time."""
+    reader = _LogReader()
     times: list[float] = []
     for line in lines:
-        times.append(unix_s(line))
-        reader.take(line)
+        times.append(line_unix_s(line))
+        reader.process_line(line)
     since_s, until_s = min(times, default=0.0), max(times, default=0.0)
     return LoggedRecords(
-        tuple(_step_record(step) for step in reader.steps.values()),
+        tuple(_build_step_record(step) for step in reader.steps.values()),
         tuple(
-            _usage_record(route, use, since_s, until_s)
-            for route, use in sorted(reader.uses.items())
+            _build_usage_record(route, route_usage, since_s, until_s)
+            for route, route_usage in sorted(reader.usage_by_route.items())
         ),
         tuple(
             Gap(node, f"{count} log lines were dropped")
@@ -181,35 +183,38 @@
     )
 
 
-def _spans(made: _Made) -> tuple[VersionSpan, ...]:
-    """Return a span for each version.
+def _build_spans(completed: _CompletedItem) -> tuple[VersionSpan, ...]:
+    """Return a span for each version of a text.
 
-    The lines name versions and not their parts, so that all tokens of a text of two
-    versions stand with the last one; the sum is right.
+    Log lines name the versions without their token counts. All tokens of a text are
+    therefore attributed to the last version, which keeps the sum correct.
     """
-    *earlier, last = made.versions or (0,)
+    *earlier, last = completed.versions or (0,)
     return (
         *(VersionSpan(version, 0) for version in earlier),
-        VersionSpan(last, made.tokens),
+        VersionSpan(last, completed.tokens),
     )
 
 
-def _step_record(step: _Step) -> StepRecord:
+def _build_step_record(step: _Step) -> StepRecord:
     listed = sorted(step.listed_s.items(), key=lambda item: item[1])
     receipts = tuple(
         Receipt(
-            index=place,
+            index=position,
             copy_id=item,
-            spans=_spans(made),
-            staleness_versions=made.staleness,
+            spans=_build_spans(completed),
+            staleness_versions=completed.staleness,
             lateness_s=listed_s - step.opened_s,
-            agent=made.instance,
+            agent=completed.instance,
         )
-        for place, (item, listed_s) in enumerate(listed)
-        if (made := step.made.get(item)) is not None and item not in step.given_up
+        for position, (item, listed_s) in enumerate(listed)
+        if (completed := step.completed.get(item)) is not None
+        and item not in step.given_up
     )
     unlisted = sum(
-        made.tokens for item, made in step.made.items() if item not in step.listed_s
+        completed.tokens
+        for item, completed in step.completed.items()
+        if item not in step.listed_s
     )
     return StepRecord(
         trainer=step.model,
@@ -219,20 +224,24 @@
         sample_count=step.items,
         receipts=receipts,
         refusals=dict(Counter(f"given up: {why}" for why in step.given_up.values())),
-        wasted_tokens={_UNLISTED: unlisted} if unlisted else {},
+        wasted_tokens={_UNLISTED_REASON: unlisted} if unlisted else {},
     )
 
 
-def _usage_record(route: str, use: _Use, since_s: float, until_s: float) -> UsageRecord:
+def _build_usage_record(
+    route: str, route_usage: _RouteUsage, since_s: float, until_s: float
+) -> UsageRecord:
     latency = HdrHistogram(*LATENCY_RANGE_US)
-    for request in use.answered:
-        latency.record_value(max(1, int(use.took_s[request] * _MICROS)))
+    for request in route_usage.answered:
+        latency.record_value(
+            max(1, int(route_usage.took_s[request] * _MICROSECONDS_PER_S))
+        )
     return UsageRecord(
         since_unix_s=since_s,
         until_unix_s=until_s,
         caller=route,
         caller_kind="route",
-        answered=len(use.answered),
-        refusals=dict(use.refused),
+        answered=len(route_usage.answered),
+        refusals=dict(route_usage.refused),
         latency_hdr=latency.encode().decode(),
     )
--- a/pistachioglade/report/_losses.py
+++ b/pistachioglade/report/_losses.py
@@ -1,9 +1,9 @@
-"""Where late steps and failed calls lost their time, by the serving programs' logs.
+"""Attributes the lost time of late steps and failed calls, from log lines.
 
-A step ends with the sample that was listed last; of one batch, the last one made. That
-sample's time, from the step's acceptance to its end, is shared out among causes: what
-an operator looks at first.
-Calls are shared out by what went wrong with their failed tries.
+The critical sample of a step is the sample that was listed last and, within one
+batch, the sample that was completed last. The time from the step's acceptance to its
+end is attributed to causes along that sample. Failed attempts of calls are grouped by
+route and cause.
 """
 
 from __future__ import annotations
@@ -18,81 +18,81 @@
 
 import attrs
 
-from ._from_logs import LogLine, unix_s
+from ._from_logs import LogLine, line_unix_s
 from ._text import text_table
 
-#: Events that a try must have made for its pace to count.
-_LEAST_EVENTS: Final = 8
-#: Time over the usual pace from which a try counts as slowed: two events of jitter on
-#: each of some hundred would stay below it.
-_LEAST_SLOW_S: Final = 0.2
+#: Least number of generated events for an attempt to count in the usual pace.
+_MIN_PACE_EVENTS: Final = 8
+#: Time over the usual pace from which an attempt counts as slow, in seconds. Jitter of
+#: two events on each of about a hundred stays below this time.
+_MIN_SLOW_S: Final = 0.2
 
 
 class LossCause(Enum):
-    """What a step's last sample spent its time on."""
+    """Cause of the time that a step's critical sample took."""
 
-    # Making its events, at the usual pace.
+    # Generation of the events at the usual pace.
     LENGTH = "made at the usual pace"
-    # No instance had a place for it.
+    # No instance had a free slot for the sample.
     WAITED = "waited for an instance"
-    # Instances refused it: full, or loading weights.
+    # Instances refused the sample because they were full or loading weights.
     REFUSED = "refused by instances"
-    # Its job passed on to another entry, or its entry started again.
+    # The job failed over to another entry, or the job's entry restarted.
     PASSED_ON = "job passed on"
-    # Events that were made a second time.
+    # Events were generated a second time after a failed attempt.
     AGAIN = "made again"
-    # An instance made events more slowly than usual, or halted.
+    # An instance generated events more slowly than usual, or stalled.
     SLOW = "slow instance"
-    # Its reward call, and the batch of results that it was written with.
+    # The reward call, and the write of the batch with the sample's result.
     LISTING = "scored and written"
-    # The trainer had not read the result yet, or not ended the step.
+    # The trainer had not yet read the result or not yet ended the step.
     READING = "read by the trainer"
 
 
 @attrs.frozen
 class StepLoss:
-    """One step and where its time went."""
+    """Causes of the time that one step took."""
 
-    # Trainer's model.
+    # Model of the trainer.
     trainer: str
     # Number of the step.
     step: int
-    # Job's id, for the story of it.
+    # Id of the job; ``ctl story`` shows the job's log lines by this id.
     job: str
-    # Sample that was listed last.
+    # Critical sample of the step.
     item: str
-    # Time from the step's acceptance to its end.
+    # Time from the step's acceptance to its end, in seconds.
     took_s: float
-    # Time from its acceptance to when it was due.
+    # Time from the step's acceptance to its due time, in seconds.
     due_s: float
-    # Parts of the time, in seconds.
+    # Time by cause, in seconds; the times add up to ``took_s``.
     parts_s: dict[LossCause, float]
 
     @property
     def is_late(self) -> bool:
-        """Whether the step ended behind its due time."""
+        """Whether the step ended after its due time."""
         return self.took_s > self.due_s
 
 
 @attrs.frozen
 class CallLoss:
-    """Calls of one route that met one fault."""
+    """Failed attempts of one route with one cause."""
 
-    # Route's name.
+    # Name of the route.
     route: str
-    # What went wrong, with numbers taken out.
+    # Reason of the failure, with each number replaced by "N".
     cause: str
-    # How many requests met it.
+    # Number of failed attempts.
     requests: int
-    # How many of these got no answer in the end.
+    # Number of these attempts whose request got no answer in the end.
     unanswered: int
-    # Time spent on such tries, in seconds.
+    # Time spent on these attempts, in seconds.
     lost_s: float
 
 
 @attrs.frozen
 class Losses:
-    """What log lines say of lost time."""
+    """Lost time of steps and calls that log lines show."""
 
     # Steps in the order of their acceptance.
     steps: tuple[StepLoss, ...]
@@ -101,16 +101,16 @@
 
 
 @attrs.frozen
-class _Try:
+class _Attempt:
     start_s: float
     end_s: float
     outcome: str
     events: int
-    # Events that were there at the start.
+    # Number of events that the attempt resumed after.
     resumed: int
 
     @property
-    def made(self) -> int:
+    def generated_events(self) -> int:
         return self.events - self.resumed
 
 
@@ -120,32 +120,32 @@
     accepted_s: float
     due_s: float = float("inf")
     begun_s: list[float] = attrs.field(factory=list)
-    tries: dict[str, list[_Try]] = attrs.field(factory=lambda: defaultdict(list))
+    tries: dict[str, list[_Attempt]] = attrs.field(factory=lambda: defaultdict(list))
     listed_s: dict[str, float] = attrs.field(factory=dict)
     ended_s: float | None = None
 
 
 def losses_from_logs(lines: Iterable[LogLine]) -> Losses:
-    """Return where time was lost, from the lines of all processes in time's order."""
+    """Return the losses in the lines of all processes, which come sorted by time."""
     jobs: dict[str, _Job] = {}
     tries: dict[str, list[LogLine]] = defaultdict(list)
     for line in lines:
         if line["event"] == "job-accepted":
-            jobs.setdefault(str(line["job"]), _Job(line, unix_s(line)))
+            jobs.setdefault(str(line["job"]), _Job(line, line_unix_s(line)))
         elif line["event"] == "call-tried":
             tries[str(line["request"])].append(line)
         elif str(line.get("job", "")) in jobs:
-            _take(jobs[str(line["job"])], line)
+            _process_line(jobs[str(line["job"])], line)
     pace_s = _usual_pace_s(jobs.values())
-    steps = (_step_loss(job_id, job, pace_s) for job_id, job in jobs.items())
+    steps = (_build_step_loss(job_id, job, pace_s) for job_id, job in jobs.items())
     return Losses(
         tuple(step for step in steps if step is not None),
-        tuple(_call_losses(tries.values())),
+        tuple(_build_call_losses(tries.values())),
     )
 
 
-def _take(job: _Job, line: LogLine) -> None:
-    time_s = unix_s(line)
+def _process_line(job: _Job, line: LogLine) -> None:
+    time_s = line_unix_s(line)
     match line["event"]:
         case "job-run-begun":
             job.begun_s.append(time_s)
@@ -154,7 +154,7 @@
         case "item-tried":
             resumed = line["resumed_after"]
             job.tries[str(line["item"])].append(
-                _Try(
+                _Attempt(
                     time_s - float(line["took_s"]),
                     time_s,
                     str(line["outcome"]),
@@ -171,25 +171,25 @@
 
 def _usual_pace_s(jobs: Iterable[_Job]) -> float:
     paces = [
-        (tried.end_s - tried.start_s) / tried.made
+        (tried.end_s - tried.start_s) / tried.generated_events
         for job in jobs
         for tries in job.tries.values()
         for tried in tries
-        if tried.outcome == "complete" and tried.made >= _LEAST_EVENTS
+        if tried.outcome == "complete" and tried.generated_events >= _MIN_PACE_EVENTS
     ]
     return median(paces) if paces else 0.0
 
 
-def _step_loss(job_id: str, job: _Job, pace_s: float) -> StepLoss | None:
-    """Return a step's loss; None if it didn't end, or nothing of it was listed."""
+def _build_step_loss(job_id: str, job: _Job, pace_s: float) -> StepLoss | None:
+    """Return a step's loss; None if the step has no end or no listed sample."""
     if job.ended_s is None:
         return None
     read = {item: at_s for item, at_s in job.listed_s.items() if at_s <= job.ended_s}
     if not read:
         return None
-    item = max(read, key=lambda item: (read[item], _whole_s(job.tries[item])))
+    item = max(read, key=lambda item: (read[item], _completed_s(job.tries[item])))
     parts_s: dict[LossCause, float] = defaultdict(float)
-    for cause, time_s in _parts(job, job.tries[item], read[item], pace_s):
+    for cause, time_s in _attribute_time(job, job.tries[item], read[item], pace_s):
         parts_s[cause] += time_s
     return StepLoss(
         str(job.line["model"]),
@@ -202,50 +202,53 @@
     )
 
 
-def _whole_s(tries: list[_Try]) -> float:
+def _completed_s(tries: list[_Attempt]) -> float:
     return tries[-1].end_s if tries else 0.0
 
 
-def _parts(
-    job: _Job, tries: list[_Try], listed_s: float, pace_s: float
+def _attribute_time(
+    job: _Job, tries: list[_Attempt], listed_s: float, pace_s: float
 ) -> Iterator[tuple[LossCause, float]]:
-    """Share a sample's time out among the causes."""
-    before = _Try(job.accepted_s, job.accepted_s, "", 0, 0)
-    for last, tried in pairwise((before, *tries)):
-        yield from _gap(job, last, tried, pace_s)
-        usual_s = tried.made * pace_s
+    """Yield each part of a sample's time with its cause."""
+    before = _Attempt(job.accepted_s, job.accepted_s, "", 0, 0)
+    for previous, tried in pairwise((before, *tries)):
+        yield from _attribute_gap(job, previous, tried, pace_s)
+        usual_s = tried.generated_events * pace_s
         slow_s = tried.end_s - tried.start_s - usual_s
-        yield LossCause.LENGTH, usual_s + (slow_s if slow_s < _LEAST_SLOW_S else 0.0)
-        yield LossCause.SLOW, slow_s if slow_s >= _LEAST_SLOW_S else 0.0
-    whole_s = tries[-1].end_s if tries else job.accepted_s
-    yield LossCause.LISTING, listed_s - whole_s
+        yield LossCause.LENGTH, usual_s + (slow_s if slow_s < _MIN_SLOW_S else 0.0)
+        yield LossCause.SLOW, slow_s if slow_s >= _MIN_SLOW_S else 0.0
+    completed_s = tries[-1].end_s if tries else job.accepted_s
+    yield LossCause.LISTING, listed_s - completed_s
     assert job.ended_s is not None
     yield LossCause.READING, job.ended_s - listed_s
 
 
-def _gap(
-    job: _Job, last: _Try, tried: _Try, pace_s: float
+def _attribute_gap(
+    job: _Job, previous: _Attempt, tried: _Attempt, pace_s: float
 ) -> Iterator[tuple[LossCause, float]]:
-    """Share the time between two tries out."""
-    gap_s = tried.start_s - last.end_s
-    again = last.events - tried.resumed
-    if again > 0:
-        # The earlier try's time holds it; the later one repeats it.
-        yield LossCause.AGAIN, again * pace_s
-        yield LossCause.LENGTH, -again * pace_s
-    is_passed_on = any(last.end_s < at_s <= tried.start_s for at_s in job.begun_s[1:])
-    if is_passed_on:
-        unlogged_s = max(0, -again) * pace_s
+    """Yield each part of the time between two attempts with its cause."""
+    gap_s = tried.start_s - previous.end_s
+    repeated_events = previous.events - tried.resumed
+    if repeated_events > 0:
+        # The time of the earlier attempt already includes these events, which the later
+        # attempt generates again.
+        yield LossCause.AGAIN, repeated_events * pace_s
+        yield LossCause.LENGTH, -repeated_events * pace_s
+    is_failed_over = any(
+        previous.end_s < at_s <= tried.start_s for at_s in job.begun_s[1:]
+    )
+    if is_failed_over:
+        unlogged_s = max(0, -repeated_events) * pace_s
         yield LossCause.LENGTH, unlogged_s
         yield LossCause.PASSED_ON, gap_s - unlogged_s
-    elif last.outcome == "not-run":
+    elif previous.outcome == "not-run":
         yield LossCause.REFUSED, gap_s
     else:
         yield LossCause.WAITED, gap_s
 
 
-def _call_losses(requests: Iterable[list[LogLine]]) -> Iterator[CallLoss]:
-    met: dict[tuple[str, str], list[tuple[bool, float]]] = defaultdict(list)
+def _build_call_losses(requests: Iterable[list[LogLine]]) -> Iterator[CallLoss]:
+    failures: dict[tuple[str, str], list[tuple[bool, float]]] = defaultdict(list)
     for tries in requests:
         outcome = tries[-1]["outcome"]
         is_answered = isinstance(outcome, int) and outcome < 500
@@ -254,20 +257,20 @@
                 continue
             reason = str(line["reason"] or f"answered {line['outcome']}")
             cause = re.sub(r"\d+(\.\d+)?", "N", reason)
-            fault = (not is_answered, float(line["took_s"]))
-            met[str(line["route"]), cause].append(fault)
-    for (route, cause), faults in sorted(met.items()):
+            failure = (not is_answered, float(line["took_s"]))
+            failures[str(line["route"]), cause].append(failure)
+    for (route, cause), failed in sorted(failures.items()):
         yield CallLoss(
             route,
             cause,
-            len(faults),
-            sum(is_lost for is_lost, _ in faults),
-            sum(took_s for _, took_s in faults),
+            len(failed),
+            sum(is_lost for is_lost, _ in failed),
+            sum(took_s for _, took_s in failed),
         )
 
 
 def render_losses(losses: Losses) -> str:
-    """Return tables: late steps, causes by trainer, calls by route and cause."""
+    """Return tables of late steps, causes by trainer, and calls by route and cause."""
     late = [step for step in losses.steps if step.is_late]
     causes: dict[tuple[str, LossCause], list[float]] = defaultdict(list)
     for step in late:
@@ -285,7 +288,7 @@
         ]
         for step in late
     ]
-    shared = [
+    cause_rows = [
         [trainer, cause.value, str(len(times_s)), f"{sum(times_s):.2f}"]
         for (trainer, cause), times_s in sorted(
             causes.items(), key=lambda item: (item[0][0], -sum(item[1]))
@@ -303,7 +306,7 @@
     ]
     parts = (
         ("Late steps", _STEP_HEADER, steps),
-        ("What they spent their time on", _CAUSE_HEADER, shared),
+        ("What they spent their time on", _CAUSE_HEADER, cause_rows),
         ("Calls", _CALL_HEADER, calls),
     )
     return "\n\n".join(
--- a/pistachioglade/report/_records.py
+++ b/pistachioglade/report/_records.py
@@ -1,4 +1,4 @@
-"""The records that the report is made of, and their form in the object API."""
+"""Records that the report is built from, and their encoding in the object API."""
 
 from __future__ import annotations
 
@@ -11,37 +11,37 @@
 
 @attrs.frozen
 class StepRecord:
-    """What one owner knows of one step."""
+    """Receipts and failures of one step, as recorded by one owner."""
 
     # Name of the trainer.
     trainer: str
     # Number of the step.
     step: int
-    # Node id of the owner that wrote this.
+    # Node id of the owner that wrote the record.
     owner: str
-    # When the trainer first opened the step.
+    # Time at which the trainer first opened the step, in seconds since the epoch.
     opened_unix_s: float
     # Samples asked for.
     sample_count: int
-    # Samples that the trainer has receipted.
+    # Receipts that the trainer sent for samples.
     receipts: tuple[Receipt, ...]
-    # Error kind to how often a sample's making was refused or failed.
+    # Error kind to the number of refused or failed attempts at samples.
     refusals: dict[str, int]
-    # Reason to tokens that were made and not delivered.
+    # Reason to the number of tokens that were generated and not delivered.
     wasted_tokens: dict[str, int]
 
 
 @attrs.frozen
 class UsageRecord:
-    """What one entry answered to one caller within a span of time."""
+    """Answers and refusals of one entry to one caller within a span of time."""
 
-    # Start of the span.
+    # Start of the span, in seconds since the epoch.
     since_unix_s: float
-    # End of the span.
+    # End of the span, in seconds since the epoch.
     until_unix_s: float
     # Name of the caller or trainer.
     caller: str
-    # Its kind.
+    # Kind of the caller.
     caller_kind: str
     # Requests that were answered.
     answered: int
@@ -52,9 +52,9 @@
 
 
 def pack_step(record: StepRecord) -> dict[str, Any]:
-    """Return a record as JSON data, by columns, some 25 bytes a sample."""
+    """Return a record as JSON data in columns, about 25 bytes for each sample."""
     agents = sorted({receipt.agent for receipt in record.receipts})
-    places = {agent: place for place, agent in enumerate(agents)}
+    positions = {agent: position for position, agent in enumerate(agents)}
     receipts = record.receipts
     return {
         "trainer": record.trainer,
@@ -67,7 +67,7 @@
         "agents": agents,
         "index": [item.index for item in receipts],
         "copy": [item.copy_id.partition(".")[2] for item in receipts],
-        "agent": [places[item.agent] for item in receipts],
+        "agent": [positions[item.agent] for item in receipts],
         "spans": [
             [number for span in item.spans for number in attrs.astuple(span)]
             for item in receipts
@@ -78,7 +78,7 @@
 
 
 def unpack_step(value: dict[str, Any]) -> StepRecord:
-    """Return the record that :func:`pack_step` packed."""
+    """Return the record that :func:`pack_step` encoded."""
     agents = value["agents"]
     columns = zip(
         value["index"],
--- a/pistachioglade/report/_text.py
+++ b/pistachioglade/report/_text.py
@@ -9,7 +9,7 @@
 
 
 def text_table(header: Sequence[str], rows: Iterable[Sequence[str]]) -> list[str]:
-    """Return lines with columns of equal width."""
+    """Return lines with each column padded to its widest cell."""
     cells = [list(header), *map(list, rows)]
     widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
     return [
@@ -20,15 +20,15 @@
     ]
 
 
-def _counts(counts: Mapping[str, int]) -> str:
+def _format_counts(counts: Mapping[str, int]) -> str:
     return ", ".join(f"{name}: {count}" for name, count in counts.items()) or "none"
 
 
-def _seconds(value: float | None) -> str:
+def _format_seconds(value: float | None) -> str:
     return "-" if value is None else f"{value:.3f}"
 
 
-def _percent(value: float | None) -> str:
+def _format_percent(value: float | None) -> str:
     return "-" if value is None else f"{value:.0f}%"
 
 
@@ -38,10 +38,10 @@
         str(trainer.asked),
         str(trainer.delivered),
         str(trainer.tokens),
-        _percent(trainer.share_promised_percent),
+        _format_percent(trainer.share_promised_percent),
         f"{trainer.share_received_percent:.1f}%",
-        _seconds(trainer.lateness_mean_s),
-        _counts(trainer.staleness_versions),
+        _format_seconds(trainer.lateness_mean_s),
+        _format_counts(trainer.staleness_versions),
     ]
 
 
@@ -53,7 +53,7 @@
             str(step.asked),
             str(step.delivered),
             f"{step.last_receipt_s:.2f}",
-            _counts(step.versions),
+            _format_counts(step.versions),
             ", ".join(dict.fromkeys(step.owners)),
         ]
         for step in trainer.steps
@@ -66,8 +66,8 @@
         caller.kind,
         str(caller.answered),
         str(sum(caller.refusals.values())),
-        _seconds(caller.p50_s),
-        _seconds(caller.p99_s),
+        _format_seconds(caller.p50_s),
+        _format_seconds(caller.p99_s),
     ]
 
 
@@ -84,7 +84,7 @@
 
 
 def render_text(report: Report) -> str:
-    """Return the whole report as text."""
+    """Return the report as text tables."""
     sections = [
         (
             "Trainers",
--- a/pistachioglade/report/tests/test_losses.py
+++ b/pistachioglade/report/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Where late steps and failed calls lost their time."""
+"""Attribution of lost time to causes, for late steps and failed calls."""
 
 from __future__ import annotations
 
@@ -41,12 +41,12 @@
 @pytest.mark.parametrize(
     ("lines", "expected_s"),
     [
-        # 100 events at 40 ms, then scored, listed and read.
+        # 100 events of 40 ms each, then scoring, listing and reading.
         (
             [_tried(5.1, 4.0, "complete", None, 100)],
             {"LENGTH": 4.0, "WAITED": 0.1, "LISTING": 3.4, "READING": 0.5},
         ),
-        # Refused once, half a second lost.
+        # One refusal costs half a second.
         (
             [
                 _tried(1.0, 0.0, "not-run", None, 0),
@@ -54,7 +54,7 @@
             ],
             {"LENGTH": 4.0, "REFUSED": 0.5, "LISTING": 3.0, "READING": 0.5},
         ),
-        # A cut stream whose last ten events are made again.
+        # A stream breaks, and its last ten events are generated again.
         (
             [
                 _tried(3.0, 2.0, "broken", None, 50),
@@ -62,7 +62,7 @@
             ],
             {"LENGTH": 4.0, "AGAIN": 0.4, "LISTING": 3.1, "READING": 0.5},
         ),
-        # The entry died: 60 events were made there and no line says so.
+        # The entry crashed after 60 events; no log line names these events.
         (
             [
                 _line(4.5, "job-run-begun", job="j", due_in_s=4.0),
@@ -72,17 +72,17 @@
         ),
     ],
 )
-def test_a_late_steps_time_is_shared_out(
+def test_late_step_time_is_attributed_to_causes(
     lines: list[dict[str, Any]], expected_s: dict[str, float]
 ) -> None:
     (step,) = losses_from_logs(_step(*lines)).steps
-    found_s = {cause.name: at_s for cause, at_s in step.parts_s.items() if at_s}
+    found_s = {cause.name: time_s for cause, time_s in step.parts_s.items() if time_s}
     assert found_s == pytest.approx(expected_s)
     assert sum(step.parts_s.values()) == pytest.approx(step.took_s) == 8.0
     assert step.is_late
 
 
-def test_a_slow_instance_shows() -> None:
+def test_slow_attempt_is_attributed_to_slow_instance() -> None:
     other = {"job": "j", "outcome": "complete", "resumed_after": None}
     lines = [
         *(
@@ -95,13 +95,13 @@
     assert step.parts_s[LossCause.SLOW] == pytest.approx(3.0)
 
 
-def test_steps_that_were_never_read_are_left_out() -> None:
+def test_steps_without_end_or_listed_sample_are_omitted() -> None:
     lines = _step(_tried(5.0, 4.0, "complete", None, 100))
     assert not losses_from_logs(lines[:-1]).steps
     assert not losses_from_logs([lines[0], lines[-1]]).steps
 
 
-def test_calls_by_route_and_cause() -> None:
+def test_failed_calls_are_grouped_by_route_and_cause() -> None:
     def call(request: str, outcome: Any, reason: str, took_s: float) -> dict[str, Any]:
         return _line(
             1.0,
--- a/pistachioglade/report/tests/test_records.py
+++ b/pistachioglade/report/tests/test_records.py
@@ -1,4 +1,4 @@
-"""Records: packing, and merging what several owners wrote."""
+"""Encoding of step records, and merging of the records of several owners."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 
 @given(st.lists(_RECEIPTS, max_size=20))
-def test_a_record_comes_back_as_it_was(receipts: list[Receipt]) -> None:
+def test_packed_record_round_trips_through_json(receipts: list[Receipt]) -> None:
     record = _record(*receipts)
     assert unpack_step(json.loads(json.dumps(pack_step(record)))) == record
 
 
-def test_a_whole_step_stays_below_a_megabyte() -> None:
+def test_packed_record_of_8192_samples_is_below_one_megabyte() -> None:
     receipts = [
         Receipt(
             index,
@@ -49,7 +49,7 @@
     assert len(json.dumps(pack_step(_record(*receipts)))) < 1_000_000
 
 
-def test_of_two_copies_the_one_taken_later_counts() -> None:
+def test_merge_keeps_receipt_of_latest_copy() -> None:
     spans = (VersionSpan(1, 4),)
     early = Receipt(3, "a.1.1", spans, 0, 1.0, "a")
     late = Receipt(3, "b.1.1", spans, 0, 2.0, "b")
