--- a/pistachioglade/standins/__init__.py
+++ b/pistachioglade/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the platform and the upstreams, for tests and the demo only."""
+"""Stand-ins for the platform and the upstreams, only for tests and the demo."""
 
 from ._program import main
 
--- a/pistachioglade/standins/_engine.py
+++ b/pistachioglade/standins/_engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for a model engine: continuous batching, versions, orders, faults."""
+"""Stand-in for a model engine with batching, weight swaps and scripted faults."""
 
 from __future__ import annotations
 
@@ -25,89 +25,89 @@
 
 @attrs.define
 class EngineFaults:
-    """Scripted faults; counts are of the next requests."""
+    """Scripted faults; a count is the number of next requests that are affected."""
 
-    # Factor on the time of each tick.
+    # Factor on the duration of each tick.
     slow_factor: float = 1.0
-    # Completions that end in the middle.
+    # Completions whose stream ends halfway.
     truncate: int = 0
-    # Swaps that fail after the weights were sent.
+    # Swaps that fail after the engine has received the weights.
     fail_swaps: int = 0
-    # Swaps that are confirmed and not done.
+    # Swaps that are confirmed and not applied.
     ignore_swaps: int = 0
 
 
 @attrs.frozen
 class EngineOptions:
-    """How the engine behaves."""
+    """Capacity, timing and checks of one engine."""
 
     # Instance name.
     name: str
-    # Requests in one batch.
+    # Maximum number of requests in one batch.
     slots: int = 8
-    # Time of one tick with an empty batch.
+    # Duration of one tick with an empty batch, in seconds.
     tick_s: float = 0.02
-    # Tokens that each request gets in one tick.
+    # Tokens generated for each request in one tick.
     tokens_per_tick: int = 4
-    # Ticks that an uncached prompt takes.
+    # Ticks for the prefill of an uncached prompt.
     prefill_ticks: int = 5
-    # Pause of the whole engine when it swaps weights.
+    # Pause of the whole engine during a swap of weights, in seconds.
     swap_s: float = 0.2
-    # Whether an order with an old fencing number is refused.
+    # Whether an order with an old fencing token is refused.
     checks_fence: bool = True
-    # Age of the state that is reported.
+    # Age of the reported load, in seconds.
     report_lag_s: float = 0.3
-    # File that records are appended to; empty for none.
+    # Path of the file for run records; empty for none.
     record_file: str = ""
 
 
 @attrs.define(eq=False)
 class _Sequence:
-    # Id that the caller gave.
+    # Request id from the caller.
     request_id: str
-    # Model to use.
+    # Name of the model.
     model: str
     # Prompt text.
     prompt: str
-    # Tokens to make.
+    # Number of tokens to generate.
     length: int
-    # Seed of the text.
+    # Seed of the generated text.
     seed: int
-    # Whether it was cut off by a scripted fault.
+    # Whether a scripted fault truncates the stream.
     truncated: bool
-    # Events for the reader.
+    # Events for the response stream; None ends the stream.
     events: queue.Queue[dict[str, Any] | None] = attrs.field(factory=queue.Queue)
-    # Ticks until the first token.
+    # Remaining prefill ticks.
     prefill_left: int = 0
-    # Tokens made.
-    made: int = 0
-    # Whether nobody waits any more.
+    # Number of tokens generated so far.
+    generated: int = 0
+    # Whether the caller has cancelled the request or closed the stream.
     cancelled: bool = False
-    # When it was admitted to the batch.
+    # Time of admission to the batch, in seconds since the epoch.
     begun_unix_s: float = 0.0
-    # Versions that made its tokens, for the record.
+    # Pairs of weight version and token count, for the run record.
     spans: list[list[int]] = attrs.field(factory=list)
 
 
 class EngineStandin:
-    """One engine; a thread makes tokens, tick by tick."""
+    """One engine, whose thread generates tokens in ticks."""
 
     def __init__(self, options: EngineOptions) -> None:
         self._options = options
         self.faults = EngineFaults()
         self._lock = threading.RLock()
-        self._order = count()
+        self._arrival_numbers = count()
         self._waiting: list[tuple[int, int, _Sequence]] = []
         self._active: list[_Sequence] = []
-        self._cached: OrderedDict[str, None] = OrderedDict()
+        self._prompt_cache: OrderedDict[str, None] = OrderedDict()
         self._versions: dict[str, int] = {}
         self._weights: dict[str, bytearray] = {}
-        self._fence = 0
+        self._fencing_token = 0
         self._paused_until_s = 0.0
         self._leaving = False
-        self._file = RecordFile(options.record_file)
+        self._record_file = RecordFile(options.record_file)
         self._record: list[dict[str, Any]] = []
-        self._reports: list[tuple[float, dict[str, Any]]] = []
+        self._load_history: list[tuple[float, dict[str, Any]]] = []
         self.cache_hits = 0
         self.cache_misses = 0
         threading.Thread(target=self._run, daemon=True).start()
@@ -122,7 +122,7 @@
             case "POST", ("orders",):
                 return self._swap(request.json())
             case "PUT", ("weights", model, version):
-                return self._take_weights(f"{model}/{version}", request)
+                return self._store_weights(f"{model}/{version}", request)
             case "POST", ("cancel",):
                 return self._cancel(request.json()["request_id"])
             case "GET", ("record",):
@@ -145,12 +145,12 @@
             request_id=fields["request_id"],
             model=fields["model"],
             prompt=fields["prompt"],
-            length=_length(fields),
+            length=_choose_length(fields),
             seed=int(fields["seed"]),
             truncated=truncated,
         )
         with self._lock:
-            item = (int(fields["priority"]), next(self._order), sequence)
+            item = (int(fields["priority"]), next(self._arrival_numbers), sequence)
             heapq.heappush(self._waiting, item)
         headers = (("Content-Type", "text/event-stream"),)
         return StandinResponse(200, self._stream(sequence), headers)
@@ -172,16 +172,20 @@
             with self._lock:
                 if started_s >= self._paused_until_s:
                     self._tick()
-                busy = len(self._active) / self._options.slots
-                self._report(started_s)
-            tick_s = self._options.tick_s * (1 + 0.25 * busy) * self.faults.slow_factor
+                utilization = len(self._active) / self._options.slots
+                self._record_load(started_s)
+            tick_s = (
+                self._options.tick_s
+                * (1 + 0.25 * utilization)
+                * self.faults.slow_factor
+            )
             time.sleep(max(0.001, tick_s - (time.monotonic() - started_s)))
 
     def _tick(self) -> None:
         while self._waiting and len(self._active) < self._options.slots:
             sequence = heapq.heappop(self._waiting)[2]
             if not sequence.cancelled:
-                self._begin(sequence)
+                self._admit(sequence)
         for sequence in tuple(self._active):
             if sequence.cancelled:
                 self._finish(sequence)
@@ -190,60 +194,63 @@
             else:
                 self._advance(sequence)
 
-    def _begin(self, sequence: _Sequence) -> None:
+    def _admit(self, sequence: _Sequence) -> None:
         key = f"{sequence.model}/{sequence.prompt}"
-        if key in self._cached:
-            self._cached.move_to_end(key)
+        if key in self._prompt_cache:
+            self._prompt_cache.move_to_end(key)
             self.cache_hits += 1
         else:
             self.cache_misses += 1
             sequence.prefill_left = self._options.prefill_ticks
-            self._cached[key] = None
-            if len(self._cached) > _CACHED_PROMPTS:
-                self._cached.popitem(last=False)
+            self._prompt_cache[key] = None
+            if len(self._prompt_cache) > _CACHED_PROMPTS:
+                self._prompt_cache.popitem(last=False)
         sequence.begun_unix_s = time.time()
         self._active.append(sequence)
 
     def _advance(self, sequence: _Sequence) -> None:
-        tokens = min(self._options.tokens_per_tick, sequence.length - sequence.made)
+        tokens = min(
+            self._options.tokens_per_tick, sequence.length - sequence.generated
+        )
         version = self._versions.get(sequence.model, 0)
         text = "".join(
-            f"{_word(sequence.seed, sequence.made + place)} " for place in range(tokens)
+            f"{_token_text(sequence.seed, sequence.generated + position)} "
+            for position in range(tokens)
         )
-        sequence.made += tokens
+        sequence.generated += tokens
         _add_span(sequence.spans, version, tokens)
-        is_over = sequence.made >= sequence.length
-        cut = sequence.truncated and sequence.made * 2 >= sequence.length
+        is_over = sequence.generated >= sequence.length
+        is_cut = sequence.truncated and sequence.generated * 2 >= sequence.length
         event: dict[str, Any] = {
             "choices": [{"text": text, "finish_reason": "stop" if is_over else None}],
             "model_version": version,
             "token_count": tokens,
         }
         if is_over:
-            event["usage"] = {"completion_tokens": sequence.made}
-        if is_over or cut:
+            event["usage"] = {"completion_tokens": sequence.generated}
+        if is_over or is_cut:
             self._finish(sequence, event)
         else:
             sequence.events.put(event)
 
     def _finish(self, sequence: _Sequence, event: dict[str, Any] | None = None) -> None:
-        """Record a sequence, then give its last event out."""
+        """Record a sequence, then send its last event."""
         self._active.remove(sequence)
         record = {
             "request_id": sequence.request_id,
-            "tokens": sequence.made,
+            "tokens": sequence.generated,
             "spans": sequence.spans,
-            "whole": sequence.made >= sequence.length and not sequence.truncated,
+            "whole": sequence.generated >= sequence.length and not sequence.truncated,
             "unix_s": sequence.begun_unix_s,
         }
-        self._file.append(record)
+        self._record_file.append(record)
         if len(self._record) < _RECORD_LIMIT:
             self._record.append(record)
         if event is not None:
             sequence.events.put(event)
         sequence.events.put(None)
 
-    def _report(self, now_s: float) -> None:
+    def _record_load(self, now_s: float) -> None:
         fields = {
             "running": len(self._active),
             "waiting": len(self._waiting),
@@ -251,22 +258,22 @@
             "cache_hits": self.cache_hits,
             "cache_misses": self.cache_misses,
         }
-        self._reports.append((now_s, fields))
+        self._load_history.append((now_s, fields))
         limit_s = now_s - self._options.report_lag_s
-        while len(self._reports) > 1 and self._reports[1][0] <= limit_s:
-            self._reports.pop(0)
+        while len(self._load_history) > 1 and self._load_history[1][0] <= limit_s:
+            self._load_history.pop(0)
 
     def _state(self) -> dict[str, Any]:
-        """Return the lagging load; version and leaving are as of now."""
+        """Return the delayed load with the current versions and leaving flag."""
         with self._lock:
-            load = self._reports[0][1] if self._reports else {}
+            load = self._load_history[0][1] if self._load_history else {}
             return {
                 **load,
                 "versions": dict(self._versions),
                 "leaving": self._leaving,
             }
 
-    def _take_weights(self, name: str, request: StandinRequest) -> StandinResponse:
+    def _store_weights(self, name: str, request: StandinRequest) -> StandinResponse:
         offset = int(request.query.get("offset", 0))
         with self._lock:
             data = self._weights.setdefault(name, bytearray())
@@ -276,9 +283,12 @@
     def _swap(self, fields: dict[str, Any]) -> StandinResponse:
         model, version = fields["model"], int(fields["version"])
         with self._lock:
-            if self._options.checks_fence and int(fields["fence"]) < self._fence:
+            if (
+                self._options.checks_fence
+                and int(fields["fence"]) < self._fencing_token
+            ):
                 return StandinResponse(409, {"error": "fencing number is old"})
-            self._fence = max(self._fence, int(fields["fence"]))
+            self._fencing_token = max(self._fencing_token, int(fields["fence"]))
             data = self._weights.get(f"{model}/{version}")
             if data is None or hashlib.sha256(data).hexdigest() != fields["digest"]:
                 return StandinResponse(400, {"error": "weights are not here"})
@@ -319,18 +329,18 @@
         return StandinResponse(200, fields)
 
 
-def _length(fields: dict[str, Any]) -> int:
-    """Return a length with a long tail, alike for samples of one prompt."""
-    most = int(fields["max_tokens"])
+def _choose_length(fields: dict[str, Any]) -> int:
+    """Return a token count with a long tail, correlated for samples of one prompt."""
+    max_tokens = int(fields["max_tokens"])
     if int(fields["priority"]) == 0:
-        return most
+        return max_tokens
     of_prompt = random.Random(str(fields["prompt"])).lognormvariate(0.0, 0.5)
     of_sample = random.Random(int(fields["seed"])).lognormvariate(0.0, 0.35)
-    return max(4, min(most, int(most * 0.25 * of_prompt * of_sample)))
+    return max(4, min(max_tokens, int(max_tokens * 0.25 * of_prompt * of_sample)))
 
 
-def _word(seed: int, place: int) -> str:
-    return f"w{(seed * 31 + place * 7919) % 4096:03x}"
+def _token_text(seed: int, position: int) -> str:
+    return f"w{(seed * 31 + position * 7919) % 4096:03x}"
 
 
 def _add_span(spans: list[list[int]], version: int, tokens: int) -> None:
--- a/pistachioglade/standins/_fleet_instance.py
+++ b/pistachioglade/standins/_fleet_instance.py
@@ -1,7 +1,7 @@
 """Stand-in for an instance on the users' platform: a plain service or a model engine.
 
-It runs in the process of a test, so that a test sees what reached it and scripts its
-faults: silence, cut streams, refusals, answers to other requests.
+The stand-in runs in the process of a test. The test can therefore inspect the received
+requests and script faults: missing answers, cut streams, refusals, wrong request ids.
 """
 
 from __future__ import annotations
@@ -19,37 +19,37 @@
 from ..platform import names
 from ._instance_entry import instance_entry
 
-#: Data of one event, repeated to this length, so that results have some size.
+#: Length to which the data of one event is padded, so that results have some size.
 _EVENT_BYTES: Final = 40
 
 
 @attrs.define
 class InstanceFaults:
-    """Scripted faults; each number counts down with the requests that meet it."""
+    """Scripted faults; each affected request decrements the fault's count."""
 
-    # Requests that are read and never answered.
+    # Requests that get no answer.
     silent: int = 0
-    # Answers that end early with their connection.
+    # Streams that end early, together with their connection.
     cut: int = 0
-    # Answers that carry another request's id.
+    # Answers with the id of another request.
     wrong_id: int = 0
-    # Requests that are refused as not run.
+    # Requests that are refused as not executed.
     refused: int = 0
-    # Requests that fail after they ran.
+    # Requests that fail after their execution.
     failed: int = 0
     # Answers without the instance's signature.
     unsigned: int = 0
 
     def take(self, name: str) -> bool:
-        """Whether the next request meets a fault; counts it."""
-        left: int = getattr(self, name)
-        if left > 0:
-            setattr(self, name, left - 1)
-        return left > 0
+        """Decrement a fault's count; return whether the request is affected."""
+        remaining: int = getattr(self, name)
+        if remaining > 0:
+            setattr(self, name, remaining - 1)
+        return remaining > 0
 
 
 class FleetInstance:
-    """One instance with its server."""
+    """One instance with an HTTP server, and a record of the requests it received."""
 
     def __init__(
         self,
@@ -67,21 +67,21 @@
         self.event_s = event_s
         self.slots = slots
         self.faults = InstanceFaults()
-        # How often each request has begun to run, by its id.
+        # Number of started runs by request id.
         self.runs: Counter[str] = Counter()
-        # How often each request failed after it had run, by its id.
+        # Number of failures after execution by request id.
         self.failures: Counter[str] = Counter()
-        # When each request last began to run, in seconds of the monotonic clock.
+        # Monotonic time of the last started run by request id, in seconds.
         self.begun_s: dict[str, float] = {}
-        # Event after which each resumed run went on, by request.
+        # Event number after which a run resumed, by request id.
         self.resumed: dict[str, int] = {}
         # Orders in the order of their arrival.
         self.orders: list[dict[str, Any]] = []
-        # When each came, in seconds of the monotonic clock.
+        # Monotonic time of each order's arrival, in seconds.
         self.orders_s: list[float] = []
-        # Requests for another instance that came here.
+        # Number of received requests that expected another instance.
         self.misdirected = 0
-        # Models whose requests are refused, as while their weights load.
+        # Models whose requests are refused, as during the loading of weights.
         self.loading: set[str] = set()
         # Paths of requests that crash the instance.
         self.crash_paths: set[str] = set()
@@ -90,7 +90,8 @@
         self.running = 0
         self.port = 0
         self.is_leaving = False
-        # When this run of it began, in milliseconds since the epoch; None: untold.
+        # Start time of the instance's process in milliseconds since the epoch; None if
+        # the instance does not report the time.
         self.born_ms: int | None = None
         self._server = HttpServer(self._handle, ServerLimits())
 
@@ -100,7 +101,7 @@
         self.port = self._server.port
 
     def stop(self) -> None:
-        """End at once, with every connection."""
+        """Stop listening and close every connection at once."""
         self._server.stop_listening()
         for connection in tuple(self._server.connections):
             connection.close()
@@ -113,7 +114,7 @@
             on_crash()
 
     def start_again(self) -> None:
-        """Start again under the same id and address, knowing nothing of before."""
+        """Restart with the same id and address, initial versions and no orders."""
         for connection in tuple(self._server.connections):
             connection.close()
         self.versions = dict.fromkeys(self.versions, 1)
@@ -123,7 +124,7 @@
         self.born_ms = (self.born_ms or 0) + 1
 
     def entry(self) -> dict[str, Any]:
-        """Return what the instance lists in the store."""
+        """Return the instance's entry for the store."""
         return instance_entry(
             self.upstream,
             f"127.0.0.1:{self.port}",
@@ -141,13 +142,13 @@
 
     async def _handle(self, request: Request, reply: Reply) -> None:
         if request.path == names.ENGINE_STATE_PATH:
-            reply.send(Response(200, (), json.dumps(self._report()).encode()))
+            reply.send(Response(200, (), json.dumps(self._build_state()).encode()))
         elif request.path == names.ENGINE_ORDER_PATH:
-            reply.send(Response(self._order(json.loads(request.body))))
+            reply.send(Response(self._apply_order(json.loads(request.body))))
         else:
-            await self._work(request, reply)
+            await self._serve_request(request, reply)
 
-    def _report(self) -> dict[str, Any]:
+    def _build_state(self) -> dict[str, Any]:
         return {
             "models": self._models(),
             "busy": False,
@@ -155,7 +156,7 @@
             "running-count": self.running,
         }
 
-    def _order(self, order: dict[str, Any]) -> int:
+    def _apply_order(self, order: dict[str, Any]) -> int:
         if order.get("expect", len(self.orders)) != len(self.orders):
             return 409
         self.orders.append(order)
@@ -163,7 +164,7 @@
         self.versions[order["model"]] = order["version"]
         return 202
 
-    async def _work(self, request: Request, reply: Reply) -> None:
+    async def _serve_request(self, request: Request, reply: Reply) -> None:
         request_id = request.field(names.ATTEMPT_ID) or ""
         expected = request.field(names.EXPECTED_INSTANCE)
         not_run = ((names.NOT_EXECUTED, "1"), (names.ATTEMPT_ID, request_id))
@@ -240,10 +241,10 @@
 
 
 def event_data(request_id: str, number: int) -> str:
-    """Return the data of an event; the same at every engine."""
+    """Return the data of an event, which is the same at every engine."""
     return f"{request_id}-{number}-".ljust(_EVENT_BYTES, "x")
 
 
 def whole_text(request_id: str, events: int) -> str:
-    """Return the text of a sample."""
+    """Return the complete text of a sample."""
     return "\n".join(event_data(request_id, number) for number in range(events))
--- a/pistachioglade/standins/_instance_entry.py
+++ b/pistachioglade/standins/_instance_entry.py
@@ -1,4 +1,4 @@
-"""What an instance lists of itself in the store, every field that all have."""
+"""The entry of an instance in the store, with the fields that all instances have."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 def instance_entry(
     upstream: str, address: str = "127.0.0.1:9", **more: Any
 ) -> dict[str, Any]:
-    """Return the entry of a sound instance; ``more`` are fields that differ."""
+    """Return the entry of a healthy instance; ``more`` overrides or adds fields."""
     return {
         "service": upstream,
         "address": address,
--- a/pistachioglade/standins/_object_api.py
+++ b/pistachioglade/standins/_object_api.py
@@ -1,7 +1,8 @@
 """Stand-in for the platform's store, with outages, lost answers and lost history.
 
-It speaks the form that :mod:`pistachioglade.platform` encodes: objects by kind and name
-with revisions, conditional writes, lists in pages, watches that can be too late.
+The stand-in serves the API that :mod:`pistachioglade.platform` encodes: objects by kind
+and name with revisions, conditional writes, lists in pages, and watches that fail if
+the history no longer contains their revision.
 """
 
 from __future__ import annotations
@@ -16,41 +17,41 @@
 from ._wsgi import StandinRequest, StandinResponse
 
 _MAX_VALUE_BYTES: Final = 1024 * 1024
-#: Objects in one page of a list; small, so that lists come in several pages.
+#: Objects in one page of a list; small, so that tests cover lists of several pages.
 _PAGE_OBJECTS: Final = 50
-#: Changes that watches can go back to.
+#: Number of changes in the history that watches read.
 _HISTORY_CHANGES: Final = 2000
-#: Longer than clients wait, so that the answer is lost.
-_LOST_S: Final = 3.0
+#: Delay of a lost answer, in seconds; longer than the timeout of clients.
+_LOST_ANSWER_DELAY_S: Final = 3.0
 _MAX_WATCH_S: Final = 30.0
 
 
 @attrs.define
 class ObjectApiFaults:
-    """Scripted faults."""
+    """Scripted faults of the store."""
 
     # Whether every call is refused.
     down: bool = False
-    # Time added to every call.
+    # Delay added to every call, in seconds.
     slow_s: float = 0.0
-    # How many of the next writes take effect and lose their answer.
+    # Number of next writes that take effect and whose answer is lost.
     lose_answers: int = 0
-    # Whether the history is dropped now, so that watches begin anew.
+    # Whether to drop the history now, so that watches must restart.
     forget_history: bool = False
-    # Calls a second that are taken; 0 for no limit.
+    # Rate limit of reads, in calls per second; 0 for no limit.
     reads_per_s: float = 0.0
-    # Writes a second that are taken; 0 for no limit.
+    # Rate limit of writes, in calls per second; 0 for no limit.
     writes_per_s: float = 0.0
 
 
 @attrs.define
-class _Bucket:
-    # Calls that may be made at once.
+class _TokenBucket:
+    # Number of calls that are allowed at once.
     tokens: float = 0.0
-    # When tokens were last added.
+    # Monotonic time of the last refill, in seconds.
     filled_s: float = 0.0
 
-    def take(self, rate: float, now_s: float) -> bool:
+    def try_acquire(self, rate: float, now_s: float) -> bool:
         if not rate:
             return True
         self.tokens = min(rate, self.tokens + (now_s - self.filled_s) * rate)
@@ -63,11 +64,11 @@
 
 @attrs.frozen
 class _Object:
-    # Name in its kind.
+    # Name, unique within the kind.
     name: str
-    # Revision of its last change.
+    # Revision of the last change.
     revision: int
-    # Revision at which it was created.
+    # Revision of the creation.
     created_at: int
     # Value.
     value: Any
@@ -93,36 +94,36 @@
 class _Change:
     # Kind of the object.
     kind: str
-    # The object, as it is now or as it was.
-    found: _Object
+    # The object after the change, or before its removal.
+    changed_object: _Object
     # Revision of the change.
     revision: int
-    # Whether it was removed.
+    # Whether the change removed the object.
     is_removed: bool
 
 
 class ObjectApiStandin:
-    """Objects in memory, with revisions from one counter."""
+    """Store in memory, with the revisions of all objects from one counter."""
 
     def __init__(self) -> None:
         self._changed = threading.Condition()
         self._objects: dict[tuple[str, str], _Object] = {}
         self._history: deque[_Change] = deque(maxlen=_HISTORY_CHANGES)
-        # Revision behind which the history is complete.
-        self._known_since = 0
+        # Revision after which the history is complete.
+        self._history_start = 0
         self._revision = 0
         self.faults = ObjectApiFaults()
         self._calls: Counter[str] = Counter()
-        self._reads = _Bucket()
-        self._writes = _Bucket()
+        self._read_limit = _TokenBucket()
+        self._write_limit = _TokenBucket()
 
     def handle(self, request: StandinRequest) -> StandinResponse:
         """Answer one request."""
         if request.path[0] == "control":
             return self._control(request)
-        refused = self._fault(request.method != "GET")
-        if refused is not None:
-            return refused
+        refusal = self._apply_faults(request.method != "GET")
+        if refusal is not None:
+            return refusal
         match request.method, request.path:
             case "GET", ("v1", "objects", kind):
                 is_watch = "watch" in request.query
@@ -151,10 +152,10 @@
         with self._changed:
             self.faults.forget_history = False
             self._history.clear()
-            self._known_since = self._revision
+            self._history_start = self._revision
             self._changed.notify_all()
 
-    def _fault(self, is_write: bool) -> StandinResponse | None:
+    def _apply_faults(self, is_write: bool) -> StandinResponse | None:
         self._calls["writes" if is_write else "reads"] += 1
         if self.faults.slow_s:
             time.sleep(self.faults.slow_s)
@@ -163,10 +164,14 @@
         now_s = time.monotonic()
         with self._changed:
             if is_write:
-                taken = self._writes.take(self.faults.writes_per_s, now_s)
+                is_allowed = self._write_limit.try_acquire(
+                    self.faults.writes_per_s, now_s
+                )
             else:
-                taken = self._reads.take(self.faults.reads_per_s, now_s)
-        return None if taken else StandinResponse(429, {"error": "over budget"})
+                is_allowed = self._read_limit.try_acquire(
+                    self.faults.reads_per_s, now_s
+                )
+        return None if is_allowed else StandinResponse(429, {"error": "over budget"})
 
     def _get(self, key: tuple[str, str]) -> StandinResponse:
         with self._changed:
@@ -182,29 +187,31 @@
             if key in self._objects:
                 return StandinResponse(409, self._objects[key].fields())
             revision = self._revision + 1
-            made = _Object(key[1], revision, revision, body.get("specification"), None)
-            self._apply(kind, made, False)
-        return self._answer(made)
+            written = _Object(
+                key[1], revision, revision, body.get("specification"), None
+            )
+            self._apply(kind, written, False)
+        return self._answer(written)
 
     def _replace(
-        self, key: tuple[str, str], request: StandinRequest, part: str
+        self, key: tuple[str, str], request: StandinRequest, field: str
     ) -> StandinResponse:
         body = request.json()
         if len(request.body) > _MAX_VALUE_BYTES:
             return StandinResponse(413)
         expected = body["metadata"].get("revision")
-        source = "specification" if part == "value" else "status"
+        source = "specification" if field == "value" else "status"
         with self._changed:
             found = self._objects.get(key)
             if found is None:
                 return StandinResponse(404)
             if expected is not None and expected != found.revision:
                 return StandinResponse(409, found.fields())
-            made = attrs.evolve(found, **{part: body.get(source)})
-            if made != found:
-                made = attrs.evolve(made, revision=self._revision + 1)
-                self._apply(key[0], made, False)
-        return self._answer(made)
+            written = attrs.evolve(found, **{field: body.get(source)})
+            if written != found:
+                written = attrs.evolve(written, revision=self._revision + 1)
+                self._apply(key[0], written, False)
+        return self._answer(written)
 
     def _delete(self, key: tuple[str, str], request: StandinRequest) -> StandinResponse:
         expected = request.query.get("revision")
@@ -217,26 +224,26 @@
             self._apply(key[0], found, True)
         return self._answer(found)
 
-    def _apply(self, kind: str, made: _Object, is_removed: bool) -> None:
-        """Make a change; the caller holds the lock."""
+    def _apply(self, kind: str, written: _Object, is_removed: bool) -> None:
+        """Apply a change and add it to the history; the caller holds the lock."""
         self._revision += 1
         if is_removed:
-            del self._objects[kind, made.name]
+            del self._objects[kind, written.name]
         else:
-            self._objects[kind, made.name] = made
-        self._history.append(_Change(kind, made, self._revision, is_removed))
+            self._objects[kind, written.name] = written
+        self._history.append(_Change(kind, written, self._revision, is_removed))
         if len(self._history) == _HISTORY_CHANGES:
-            self._known_since = self._history[0].revision
+            self._history_start = self._history[0].revision
         self._changed.notify_all()
 
-    def _answer(self, made: _Object) -> StandinResponse:
-        """Answer a write, or lose the answer."""
+    def _answer(self, written: _Object) -> StandinResponse:
+        """Answer a write; a lost answer is delayed past the client's timeout."""
         with self._changed:
             is_lost = self.faults.lose_answers > 0
             self.faults.lose_answers -= is_lost
         if is_lost:
-            time.sleep(_LOST_S)
-        return StandinResponse(200, made.fields())
+            time.sleep(_LOST_ANSWER_DELAY_S)
+        return StandinResponse(200, written.fields())
 
     def _list(self, kind: str, query: dict[str, str]) -> StandinResponse:
         after = query.get("after", "")
@@ -265,17 +272,18 @@
         wait_s = min(float(query.get("wait-timeout-ms", "0")) / 1000.0, _MAX_WATCH_S)
         with self._changed:
             self._changed.wait_for(
-                lambda: after < self._known_since or self._events(kind, after), wait_s
+                lambda: after < self._history_start or self._events_after(kind, after),
+                wait_s,
             )
-            if after < self._known_since:
+            if after < self._history_start:
                 return StandinResponse(410)
-            events = self._events(kind, after)
+            events = self._events_after(kind, after)
             revision = self._revision
         return StandinResponse(200, {"events": events, "at": revision})
 
-    def _events(self, kind: str, after: int) -> list[dict[str, Any]]:
+    def _events_after(self, kind: str, after: int) -> list[dict[str, Any]]:
         return [
-            {"object": change.found.fields(), "deleted": change.is_removed}
+            {"object": change.changed_object.fields(), "deleted": change.is_removed}
             for change in self._history
             if change.kind == kind and change.revision > after
         ]
--- a/pistachioglade/standins/_program.py
+++ b/pistachioglade/standins/_program.py
@@ -1,4 +1,4 @@
-"""The stand-ins' program: one sub-command for each kind."""
+"""Command line of the stand-ins, with one subcommand for each kind."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from ._small import InstanceListStandin, ScorerStandin, WeightStoreStandin
 from ._wsgi import serve
 
-_address = click.option("--address", required=True, help="Host and port.")
+_address_option = click.option("--address", required=True, help="Host and port.")
 
 
 @click.group()
@@ -19,21 +19,21 @@
 
 
 @main.command("object-api")
-@_address
+@_address_option
 def _object_api(address: str) -> None:
     """Serve objects with versions, conditional updates and watches."""
     serve(address, ObjectApiStandin().handle)
 
 
 @main.command("instance-list")
-@_address
+@_address_option
 def _instance_list(address: str) -> None:
-    """Serve a lagging list of instances."""
+    """Serve a list of instances that readers see with a delay."""
     serve(address, InstanceListStandin().handle)
 
 
 @main.command("weight-store")
-@_address
+@_address_option
 @click.option("--bytes-per-s", default=8e6, help="Rate limit over all readers.")
 def _weight_store(address: str, bytes_per_s: float) -> None:
     """Serve weights at a limited rate."""
@@ -41,14 +41,14 @@
 
 
 @main.command("scorer")
-@_address
+@_address_option
 def _scorer(address: str) -> None:
     """Serve scores of texts."""
     serve(address, ScorerStandin().handle)
 
 
 @main.command("service")
-@_address
+@_address_option
 @click.option("--name", required=True, help="Instance name.")
 @click.option("--work-s", default=0.005, help="Time of one call.")
 @click.option("--slots", default=8, help="Calls at once.")
@@ -61,7 +61,7 @@
 
 
 @main.command("engine")
-@_address
+@_address_option
 @click.option("--name", required=True, help="Instance name.")
 @click.option("--slots", default=8, help="Requests in one batch.")
 @click.option("--tick-s", default=0.02, help="Time of one tick.")
--- a/pistachioglade/standins/_service.py
+++ b/pistachioglade/standins/_service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service; some of its calls may not be repeated."""
+"""Stand-in for a plain service, some of whose operations are not idempotent."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 @attrs.define
 class ServiceFaults:
-    """Scripted faults; counts are of the next calls."""
+    """Scripted faults; a count is the number of next calls that are affected."""
 
-    # Time added to every call.
+    # Delay added to every call, in seconds.
     slow_s: float = 0.0
-    # Calls that run and whose answer is cut in the middle.
+    # Calls that run and whose answer is truncated to half.
     truncate: int = 0
-    # Calls that run and get the answer of another request.
+    # Calls that run and get the answer of the previous request.
     shuffle: int = 0
     # Calls that run and answer with an error.
     fail: int = 0
@@ -38,11 +38,11 @@
         self._slots = threading.Semaphore(slots)
         self._lock = threading.Lock()
         self.faults = ServiceFaults()
-        self._file = RecordFile(record_file)
+        self._record_file = RecordFile(record_file)
         self._runs: list[dict[str, Any]] = []
         self._running = 0
         self._leaving = False
-        self._last = ("", b"{}")
+        self._last_answer = ("", b"{}")
 
     def handle(self, request: StandinRequest) -> StandinResponse:
         """Answer one request."""
@@ -71,44 +71,46 @@
         request_id = request.headers.get("X_REQUEST_ID", "")
         payload = request.json()
         with self._slots:
-            self._note(operation, request_id, payload)
+            self._record_run(operation, request_id, payload)
             time.sleep(self._work_s + self.faults.slow_s)
         with self._lock:
             self._running -= 1
         fields = {"operation": operation, "echo": payload, "instance": self._name}
         return self._answer(request_id, json.dumps(fields).encode())
 
-    def _note(self, operation: str, request_id: str, payload: Any) -> None:
+    def _record_run(self, operation: str, request_id: str, payload: Any) -> None:
         run = {
             "operation": operation,
             "request_id": request_id,
             "payload": payload,
             "unix_s": time.time(),
         }
-        self._file.append(run)
+        self._record_file.append(run)
         with self._lock:
             self._runs.append(run)
             self._running += 1
 
-    def _take(self, fault: str) -> bool:
+    def _consume_fault(self, fault: str) -> bool:
         with self._lock:
-            left = getattr(self.faults, fault)
-            setattr(self.faults, fault, max(0, left - 1))
-            return bool(left)
+            remaining = getattr(self.faults, fault)
+            setattr(self.faults, fault, max(0, remaining - 1))
+            return bool(remaining)
 
     def _answer(self, request_id: str, body: bytes) -> StandinResponse:
-        last, self._last = self._last, (request_id, body)
-        if self._take("fail"):
+        previous, self._last_answer = self._last_answer, (request_id, body)
+        if self._consume_fault("fail"):
             return StandinResponse(500, {"error": "the operation failed"})
-        if self._take("shuffle"):
-            return StandinResponse(200, last[1], (("X-Request-Id", last[0] or "none"),))
+        if self._consume_fault("shuffle"):
+            return StandinResponse(
+                200, previous[1], (("X-Request-Id", previous[0] or "none"),)
+            )
         headers = [("X-Request-Id", request_id)]
-        if self._take("truncate"):
+        if self._consume_fault("truncate"):
             headers += [("Content-Length", str(len(body))), ("Connection", "close")]
             return StandinResponse(200, body[: len(body) // 2], tuple(headers))
         return StandinResponse(200, body, tuple(headers))
 
 
 def runs_by_payload(runs: list[dict[str, Any]], field: str) -> Counter[str]:
-    """Return how often each value of a payload field was run."""
+    """Return the number of runs for each value of a payload field."""
     return Counter(str(run["payload"].get(field)) for run in runs)
--- a/pistachioglade/standins/_small.py
+++ b/pistachioglade/standins/_small.py
@@ -14,7 +14,7 @@
 
 
 class InstanceListStandin:
-    """A list whose readers see it as it was some time ago."""
+    """List of instances that readers see with a delay."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -22,7 +22,7 @@
         self._history: list[tuple[float, list[Any]]] = []
 
     def handle(self, request: StandinRequest) -> StandinResponse:
-        """Answer one request; PUT replaces the list, lag and all."""
+        """Answer one request; PUT replaces the list and optionally its delay."""
         with self._lock:
             if request.method == "PUT":
                 fields = request.json()
@@ -30,13 +30,15 @@
                 self._history.append((time.monotonic(), fields["instances"]))
                 return StandinResponse(200)
             limit_s = time.monotonic() - self._lag_s
-            seen = [listed for at_s, listed in self._history if at_s <= limit_s]
+            visible = [listed for at_s, listed in self._history if at_s <= limit_s]
             first = self._history[0][1] if self._history else []
-            return StandinResponse(200, {"instances": seen[-1] if seen else first})
+            return StandinResponse(
+                200, {"instances": visible[-1] if visible else first}
+            )
 
 
 class WeightStoreStandin:
-    """Weights by model and version, given out at a limited rate."""
+    """Weights by model and version, served at a limited rate."""
 
     def __init__(self, bytes_per_s: float = _DEFAULT_BYTES_PER_S) -> None:
         self._lock = threading.Lock()
@@ -59,10 +61,10 @@
             return StandinResponse(404)
         first, _, last = request.headers["RANGE"].removeprefix("bytes=").partition("-")
         piece = data[int(first) : int(last) + 1]
-        self._wait_turn(len(piece))
+        self._wait_for_rate_limit(len(piece))
         return StandinResponse(206, piece)
 
-    def _wait_turn(self, size: int) -> None:
+    def _wait_for_rate_limit(self, size: int) -> None:
         with self._lock:
             now_s = time.monotonic()
             start_s = max(now_s, self._free_at_s)
@@ -73,7 +75,7 @@
 
 
 class ScorerStandin:
-    """Gives each text the same score every time."""
+    """Scores texts deterministically."""
 
     def handle(self, request: StandinRequest) -> StandinResponse:
         """Answer one request."""
--- a/pistachioglade/standins/_wsgi.py
+++ b/pistachioglade/standins/_wsgi.py
@@ -1,4 +1,4 @@
-"""A small JSON server on cheroot, which the stand-ins are made with."""
+"""Small JSON server on cheroot that the stand-ins are built on."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class StandinRequest:
-    """One request."""
+    """One HTTP request to a stand-in."""
 
     # HTTP method.
     method: str
@@ -25,7 +25,7 @@
     path: tuple[str, ...]
     # Query fields.
     query: dict[str, str]
-    # Body, whole.
+    # Complete body.
     body: bytes
     # Header fields by upper-case name with underscores.
     headers: dict[str, str]
@@ -37,11 +37,11 @@
 
 @attrs.frozen
 class StandinResponse:
-    """One response; a list of pieces is sent as a stream."""
+    """One HTTP response of a stand-in."""
 
     # HTTP status code.
     status: int
-    # JSON data, bytes, or an iterable of bytes.
+    # JSON data, bytes, or an iterable of bytes that is sent as a stream.
     body: Any = attrs.field(factory=dict)
     # Header fields.
     headers: tuple[tuple[str, str], ...] = ()
@@ -50,7 +50,7 @@
 StandinHandler = Callable[[StandinRequest], StandinResponse]
 
 
-def _read(environ: dict[str, Any]) -> StandinRequest:
+def _parse_request(environ: dict[str, Any]) -> StandinRequest:
     length = int(environ.get("CONTENT_LENGTH") or 0)
     query = parse_qs(environ.get("QUERY_STRING", ""))
     path = unquote(environ.get("PATH_INFO", "")).strip("/")
@@ -68,7 +68,9 @@
     )
 
 
-def _body(response: StandinResponse) -> tuple[Iterable[bytes], list[tuple[str, str]]]:
+def _encode_body(
+    response: StandinResponse,
+) -> tuple[Iterable[bytes], list[tuple[str, str]]]:
     headers = list(response.headers)
     if isinstance(response.body, dict | list):
         data = json.dumps(response.body).encode()
@@ -82,14 +84,14 @@
 
 
 class RecordFile:
-    """Appends records to a file, so that they outlive a kill."""
+    """Appends records to a file, so that records survive a kill of the process."""
 
     def __init__(self, path: str) -> None:
         self._path = path
         self._lock = threading.Lock()
 
     def append(self, record: dict[str, Any]) -> None:
-        """Write one record before going on."""
+        """Write one record before returning."""
         if self._path:
             with self._lock, open(self._path, "a", encoding="utf-8") as file:
                 file.write(json.dumps(record) + "\n")
@@ -100,8 +102,8 @@
     host, _, port = address.rpartition(":")
 
     def application(environ: dict[str, Any], start_response: Any) -> Iterable[bytes]:
-        response = handler(_read(environ))
-        pieces, headers = _body(response)
+        response = handler(_parse_request(environ))
+        pieces, headers = _encode_body(response)
         start_response(f"{response.status} Standin", headers)
         return pieces
 
