--- a/pistachioglade/load/__init__.py
+++ b/pistachioglade/load/__init__.py
@@ -1,4 +1,4 @@
-"""Demo, load and experiments."""
+"""Load tool: demo, policy comparison, experiments and fault runs."""
 
 from . import _checks as checks
 from ._checks import TrainerOutcome
--- a/pistachioglade/load/__main__.py
+++ b/pistachioglade/load/__main__.py
@@ -1,4 +1,4 @@
-"""Lets ``python -m pistachioglade.load`` run the load tool."""
+"""Runs the load tool as ``python -m pistachioglade.load``."""
 
 from ._program import main
 
--- a/pistachioglade/load/_checks.py
+++ b/pistachioglade/load/_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the promises against the stand-ins' own records."""
+"""Checks of the service's guarantees against the stand-ins' own records."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 @attrs.frozen
 class TrainerOutcome:
-    """What a trainer should have got, and what it got."""
+    """Expectations of one trainer, and the log of what the trainer received."""
 
     # Name of the trainer.
     trainer: str
-    # Most versions that a sample may be behind.
+    # Maximum number of versions that a sample may be behind the newest one.
     bound_versions: int
-    # Samples in each step.
+    # Number of samples in each step.
     step_samples: int
-    # What it saw.
+    # Log of the trainer.
     log: TrainerLog
 
 
@@ -39,24 +39,24 @@
 def check_versions(
     outcomes: Iterable[TrainerOutcome], engine_runs: Mapping[str, Runs]
 ) -> Iterator[str]:
-    """Find samples that name versions which did not produce them."""
-    made: dict[tuple[str, str], list[Any]] = defaultdict(list)
+    """Yield samples whose versions differ from the engine's records."""
+    run_spans: dict[tuple[str, str], list[Any]] = defaultdict(list)
     for engine, runs in engine_runs.items():
         for run in runs:
             if run["whole"]:
                 name = str(run["request_id"]).rpartition("/")[0]
-                made[engine, name].append(run["spans"])
+                run_spans[engine, name].append(run["spans"])
     for outcome in outcomes:
         for step, sample, _newest in outcome.log.taken:
             name = f"{outcome.trainer}/{step}/{sample.index}"
             if sample.engine in engine_runs and (
-                _spans(sample) not in made[sample.engine, name]
+                _spans(sample) not in run_spans[sample.engine, name]
             ):
                 yield f"versions: {name} says {_spans(sample)}, not {sample.engine}"
 
 
 def check_staleness(outcomes: Iterable[TrainerOutcome]) -> Iterator[str]:
-    """Find samples that are older than their trainer's bound."""
+    """Yield samples that exceed the staleness bound of their trainer."""
     for outcome in outcomes:
         for step, sample, newest in outcome.log.taken:
             age = newest - sample.oldest_version
@@ -65,7 +65,7 @@
 
 
 def check_exactly_once(outcomes: Iterable[TrainerOutcome]) -> Iterator[str]:
-    """Find samples that are missing or came twice."""
+    """Yield samples that are missing or duplicated, and failures of trainers."""
     for outcome in outcomes:
         taken = Counter((step, item.index) for step, item, _new in outcome.log.taken)
         for (step, index), times in taken.items():
@@ -80,7 +80,7 @@
 
 
 def check_whole_answers(records: Iterable[CallRecord]) -> Iterator[str]:
-    """Find answers that are not whole or belong to another request."""
+    """Yield answers that are incomplete or belong to another request."""
     for record in records:
         if record.status == 200 and not record.whole:
             yield f"whole answers: {record.caller} {record.operation} {record.number}"
@@ -90,7 +90,7 @@
     return f"{record.caller}-{record.operation}-{record.number}"
 
 
-def _run_counts(service_runs: Iterable[Runs]) -> Counter[str]:
+def _count_runs(service_runs: Iterable[Runs]) -> Counter[str]:
     return Counter(
         str(run["payload"].get("id")) for runs in service_runs for run in runs
     )
@@ -99,8 +99,8 @@
 def check_not_run(
     records: Iterable[CallRecord], service_runs: Sequence[Runs]
 ) -> Iterator[str]:
-    """Find calls whose answer does not tell whether they ran."""
-    ran = _run_counts(service_runs)
+    """Yield calls whose answer contradicts the record of runs."""
+    ran = _count_runs(service_runs)
     for record in records:
         name = _call_name(record)
         if record.execution == "not-run" and ran[name]:
@@ -112,10 +112,12 @@
 def check_at_most_once(
     service_runs: Sequence[Runs], once_operations: Iterable[str]
 ) -> Iterator[str]:
-    """Find non-idempotent requests that ran more than once."""
+    """Yield non-idempotent requests that ran more than once."""
     once = set(once_operations)
-    kept = [[run for run in runs if run["operation"] in once] for runs in service_runs]
-    for name, times in _run_counts(kept).items():
+    selected = [
+        [run for run in runs if run["operation"] in once] for runs in service_runs
+    ]
+    for name, times in _count_runs(selected).items():
         if times > 1:
             yield f"at most once: {name} ran {times} times"
 
@@ -123,7 +125,7 @@
 def check_leaving(
     left_unix_s: Mapping[str, float], runs: Mapping[str, Runs], grace_s: float
 ) -> Iterator[str]:
-    """Find work that an instance began long after its leaving."""
+    """Yield runs that an instance began more than ``grace_s`` after its leaving."""
     for instance, since_s in left_unix_s.items():
         for run in runs.get(instance, ()):
             if float(run["unix_s"]) > since_s + grace_s:
@@ -134,10 +136,12 @@
 def check_record(
     outcomes: Iterable[TrainerOutcome], records: Sequence[StepRecord]
 ) -> Iterator[str]:
-    """Find samples that the report's records and their trainer disagree about."""
+    """Yield samples whose copy differs between the report's records and the trainer."""
     for outcome in outcomes:
-        own = [record for record in records if record.trainer == outcome.trainer]
-        recorded = merge_receipts(own)
+        own_records = [
+            record for record in records if record.trainer == outcome.trainer
+        ]
+        recorded = merge_receipts(own_records)
         for step, sample, _newest in outcome.log.taken:
             found = recorded.get((step, sample.index))
             copy_id = found.copy_id if found else None
@@ -148,18 +152,18 @@
 
 @attrs.frozen
 class SeenGeneration:
-    """The generation that a node said it had."""
+    """Configuration generation that a node reported at one time."""
 
-    # When it was asked, by the observer's clock.
+    # Monotonic time of the observation, in seconds.
     at_s: float
     # Node id.
     node: str
-    # The generation.
+    # Reported generation.
     generation: int
 
 
 def check_generations(seen: Iterable[SeenGeneration]) -> Iterator[str]:
-    """Find nodes that went back to an earlier configuration."""
+    """Yield nodes that went back to an earlier configuration."""
     ordered = sorted(seen, key=lambda item: (item.node, item.at_s))
     for node, items in groupby(ordered, key=lambda item: item.node):
         for earlier, later in pairwise(items):
--- a/pistachioglade/load/_cluster.py
+++ b/pistachioglade/load/_cluster.py
@@ -1,7 +1,7 @@
-"""Starts a deployment's processes on loopback addresses, and ends them.
+"""Starts and stops the processes of a deployment on loopback addresses.
 
-Only for the demo, the load tool and tests: the system's own programs start no
-process.
+Only the demo, the load tool and tests use this module; the service's own programs
+start no processes.
 """
 
 from __future__ import annotations
@@ -40,18 +40,18 @@
 
 @attrs.frozen
 class ProcessPlan:
-    """How to start one process."""
+    """Command that starts one process."""
 
-    # Name within the cluster.
+    # Name, unique within the cluster.
     name: str
-    # Console script.
+    # Name of the console script.
     program: str
-    # Arguments.
+    # Command-line arguments.
     arguments: tuple[str, ...]
 
 
 class ClusterError(Exception):
-    """The cluster did not come to the state that was waited for."""
+    """Raised when the cluster does not reach an expected state."""
 
 
 class Cluster:
@@ -83,7 +83,7 @@
             )
 
     def restart(self, name: str) -> None:
-        """Start a process that has ended once more."""
+        """Start a process again that has ended."""
         self.start(self._plans[name])
 
     def signal(self, name: str, number: int) -> None:
@@ -91,24 +91,24 @@
         self._processes[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """End a process at once."""
+        """Kill a process and wait for its end."""
         self.signal(name, signal.SIGKILL)
         self._processes[name].wait()
 
     def freeze(self, name: str) -> None:
-        """Let a process stand still."""
+        """Suspend a process."""
         self.signal(name, signal.SIGSTOP)
 
     def thaw(self, name: str) -> None:
-        """Let a process go on."""
+        """Resume a suspended process."""
         self.signal(name, signal.SIGCONT)
 
     def ask_to_stop(self, name: str) -> None:
-        """Ask a process to stop in order."""
+        """Ask a process to shut down gracefully, without waiting."""
         self.signal(name, signal.SIGTERM)
 
     def stop(self, name: str) -> int:
-        """Ask a process to stop and wait for it; return its exit code."""
+        """Shut a process down gracefully; return its exit code."""
         self.ask_to_stop(name)
         return self._processes[name].wait(_STOP_S)
 
@@ -131,11 +131,11 @@
         )
 
     def record_path(self, instance: str) -> Path:
-        """Return the file of an instance's record."""
+        """Return the path of an instance's record file."""
         return self.folder / f"{instance}.record.jsonl"
 
     def runs(self, upstream: str) -> dict[str, list[Any]]:
-        """Return what each instance of an upstream recorded, kills included."""
+        """Return the recorded runs of each instance of an upstream, across restarts."""
         instances = [name.removeprefix("agent-") for name in self.agents_of(upstream)]
         paths = {name: self.record_path(name) for name in instances}
         return {
@@ -159,7 +159,7 @@
         timeout_s: float = 30.0,
         headers: Mapping[str, str] | None = None,
     ) -> HttpReply | Refusal:
-        """Send one request to a process; a text body goes out as it is."""
+        """Send one request to a process; a text or bytes body is sent unchanged."""
         session = self._sessions.setdefault(name, HttpSession(self.urls[name]))
         data = body if isinstance(body, bytes) else None
         if isinstance(body, str):
@@ -184,7 +184,10 @@
         raise ClusterError(f"{method} {path}: {last}")
 
     def wait(self, what: str, is_so: Callable[[], bool], bound_s: float = 60.0) -> None:
-        """Wait for a state; the bound is generous, for slow machines."""
+        """Wait until ``is_so`` returns true; raises ClusterError after ``bound_s``.
+
+        The default bound is large for slow machines.
+        """
         deadline_s = time.monotonic() + bound_s
         while not is_so():
             if time.monotonic() > deadline_s:
@@ -216,23 +219,23 @@
         return generation
 
     def close(self) -> None:
-        """End every process that this cluster started."""
+        """Stop every process that this cluster started."""
         running = [name for name in self._processes if self.is_running(name)]
         for name in running:
             self.signal(name, signal.SIGCONT)
-        nodes = [name for name in running if name in self._nodes()]
+        nodes = [name for name in running if name in self._node_names()]
         for name in nodes:
             self.signal(name, signal.SIGTERM)
-        self._reap(nodes, _STOP_S)
+        self._wait_or_kill(nodes, _STOP_S)
         for name in running:
             if self.is_running(name):
                 self.kill(name)
         self.relays.close()
 
-    def _nodes(self) -> set[str]:
+    def _node_names(self) -> set[str]:
         return {*self.names("entry-"), *self.upstream_of}
 
-    def _reap(self, names: list[str], bound_s: float) -> None:
+    def _wait_or_kill(self, names: list[str], bound_s: float) -> None:
         deadline_s = time.monotonic() + bound_s
         for name in names:
             try:
@@ -242,29 +245,29 @@
 
 
 class _Builder:
-    """Writes the settings and starts the processes of a deployment."""
+    """Writes the settings of a deployment's processes and starts the processes."""
 
     def __init__(self, cluster: Cluster, options: dict[str, Any]) -> None:
         self._cluster = cluster
         self._is_bare = bool(options.pop("bare_agents", False))
         self._options = options
         self._folder = cluster.folder
-        self._listed: list[dict[str, Any]] = []
+        self._listed_nodes: list[dict[str, Any]] = []
         self._domains = itertools.cycle(cluster.deployment.domains)
 
     def build(self) -> None:
         deployment = self._cluster.deployment
         self._write("cluster.secret", CLUSTER_SECRET)
         self._write("operator.token", OPERATOR_TOKEN)
-        self._standin("object-api")
-        self._standin("instance-list")
+        self._start_standin("object-api")
+        self._start_standin("instance-list")
         rate = str(deployment.store_bytes_per_s)
-        self._standin("weight-store", "--bytes-per-s", rate)
-        self._standin("scorer")
+        self._start_standin("weight-store", "--bytes-per-s", rate)
+        self._start_standin("scorer")
         agents = [
-            item for plan in deployment.upstreams for item in self._upstream(plan)
+            item for plan in deployment.upstreams for item in self._plan_upstream(plan)
         ]
-        entries = [self._entry(number) for number in range(deployment.entries)]
+        entries = [self._plan_entry(number) for number in range(deployment.entries)]
         self._publish_list()
         for plan in (*agents, *entries):
             self._cluster.start(plan)
@@ -274,7 +277,7 @@
         path.write_text(text + "\n", encoding="utf-8")
         return str(path)
 
-    def _standin(self, name: str, *options: str, kind: str = "") -> str:
+    def _start_standin(self, name: str, *options: str, kind: str = "") -> str:
         address = free_address()
         self._cluster.urls[name] = f"http://{address}"
         arguments = (kind or name, "--address", address, *options)
@@ -282,12 +285,14 @@
         self._cluster.start(plan)
         return f"http://{address}"
 
-    def _common(self, node: str, domain: str) -> dict[str, Any]:
+    def _common_settings(self, node: str, domain: str) -> dict[str, Any]:
         listen_address = free_address()
         address = listen_address
         if not self._is_bare:
             address = self._cluster.relays.add(node, listen_address)
-        self._listed.append({"name": node, "link_address": address, "leaving": False})
+        self._listed_nodes.append(
+            {"name": node, "link_address": address, "leaving": False}
+        )
         return {
             "node": node,
             "domain": domain,
@@ -300,13 +305,13 @@
             **self._options,
         }
 
-    def _upstream(self, plan: UpstreamPlan) -> Iterator[ProcessPlan]:
+    def _plan_upstream(self, plan: UpstreamPlan) -> Iterator[ProcessPlan]:
         for number in range(plan.instances):
-            yield self._agent(plan, number)
+            yield self._plan_agent(plan, number)
 
-    def _agent(self, plan: UpstreamPlan, number: int) -> ProcessPlan:
+    def _plan_agent(self, plan: UpstreamPlan, number: int) -> ProcessPlan:
         if self._is_bare:
-            return self._bare_agent(plan, number)
+            return self._plan_bare_agent(plan, number)
         deployment = self._cluster.deployment
         instance = f"{plan.name}-{number}"
         options = ["--name", instance, "--slots", str(plan.slots)]
@@ -319,48 +324,48 @@
             options += ["--swap-s", str(deployment.swap_s)]
             if number < plan.ignore_fence_instances:
                 options.append("--ignore-fence")
-        url = self._standin(instance, *options, kind=plan.kind.value)
+        url = self._start_standin(instance, *options, kind=plan.kind.value)
         node = f"agent-{instance}"
         self._cluster.upstream_of[node] = plan.name
         urls = self._cluster.urls
         settings = {
-            "common": self._common(node, next(self._domains)),
+            "common": self._common_settings(node, next(self._domains)),
             "upstream": plan.name,
             "instances": [{"name": instance, "url": url, "slots": plan.slots}],
             "weight_store_url": urls["weight-store"] if is_engine else "",
             "scorer_url": urls["scorer"] if is_engine else "",
         }
-        return self._node(node, "pistachioglade-agent", settings)
+        return self._plan_node(node, "pistachioglade-agent", settings)
 
-    def _bare_agent(self, plan: UpstreamPlan, number: int) -> ProcessPlan:
-        """Plan an agent without instances, to measure control alone."""
+    def _plan_bare_agent(self, plan: UpstreamPlan, number: int) -> ProcessPlan:
+        """Plan an agent without instances, to measure the control plane alone."""
         node = f"agent-{plan.name}-{number}"
         self._cluster.upstream_of[node] = plan.name
         settings = {
-            "common": self._common(node, next(self._domains)),
+            "common": self._common_settings(node, next(self._domains)),
             "upstream": plan.name,
             "instances": [],
         }
-        return self._node(node, "pistachioglade-agent", settings)
+        return self._plan_node(node, "pistachioglade-agent", settings)
 
-    def _entry(self, number: int) -> ProcessPlan:
+    def _plan_entry(self, number: int) -> ProcessPlan:
         node = f"entry-{number}"
         address = free_address()
         self._cluster.urls[node] = f"http://{address}"
         settings = {
-            "common": self._common(node, next(self._domains)),
+            "common": self._common_settings(node, next(self._domains)),
             "http_address": address,
             "operator_token_file": str(self._folder / "operator.token"),
         }
-        return self._node(node, "pistachioglade-entry", settings)
+        return self._plan_node(node, "pistachioglade-entry", settings)
 
-    def _node(self, node: str, program: str, settings: Any) -> ProcessPlan:
+    def _plan_node(self, node: str, program: str, settings: Any) -> ProcessPlan:
         path = self._write(f"{node}.yaml", yaml.safe_dump(settings))
         return ProcessPlan(node, program, ("--settings", path))
 
     def _publish_list(self) -> None:
         cluster = self._cluster
-        body = {"instances": self._listed}
+        body = {"instances": self._listed_nodes}
 
         def is_published() -> bool:
             reply = cluster.request("instance-list", "PUT", "/instances", body)
@@ -370,7 +375,7 @@
 
 
 def _is_ready(cluster: Cluster) -> bool:
-    """Return whether every entry knows every node."""
+    """Return whether every entry has the status of every node."""
     expected = {*cluster.names("entry-"), *cluster.upstream_of}
     for entry in cluster.names("entry-"):
         reply = cluster.request(
@@ -388,7 +393,7 @@
 def start_cluster(
     folder: Path, deployment: Deployment, **options: Any
 ) -> Iterator[Cluster]:
-    """Start a deployment, give it out once it is ready, and end it."""
+    """Start a deployment, yield the cluster when all nodes are known, and stop it."""
     cluster = Cluster(folder, deployment)
     try:
         _Builder(cluster, options).build()
--- a/pistachioglade/load/_compare.py
+++ b/pistachioglade/load/_compare.py
@@ -1,4 +1,4 @@
-"""Runs the same seeded work under several policies and compares the measures."""
+"""Runs the same seeded workload under several policies and compares the measures."""
 
 from __future__ import annotations
 
@@ -33,20 +33,20 @@
 from ._trainers import SimulatedTrainer
 
 POLICIES: Final = ("baseline", "fair")
-_ON_TIME_S: Final = 0.25
-_LONGEST_S: Final = 600.0
-_WARM_STEPS: Final = 1
+_CALL_LIMIT_S: Final = 0.25
+_MAX_RUN_S: Final = 600.0
+_WARM_UP_STEPS: Final = 1
 
 
 @attrs.frozen
 class Workload:
-    """Changes of a deployment's own workload."""
+    """Changes to the workload of a deployment."""
 
-    # Steps of each trainer.
+    # Number of steps of each trainer.
     steps: int = 6
-    # Time that training on a step takes; None for the deployment's.
+    # Duration of training on one step in seconds; None for the deployment's value.
     train_s: float | None = None
-    # Factor on the time of one engine's ticks; 1 for none slow.
+    # Factor on the tick duration of one engine; 1 for no slow engine.
     slow_factor: float = 1.0
     # Factor on the rate of calls.
     call_factor: float = 1.0
@@ -54,56 +54,56 @@
 
 @attrs.frozen
 class Measures:
-    """What the users measure, for one policy and seed."""
+    """Figures of merit for users, for one policy and seed."""
 
     # Name of the policy.
     policy: str
-    # Seed of the work.
+    # Seed of the workload.
     seed: int
-    # Time that trainers waited for samples, in the mean.
+    # Mean time that trainers waited for samples, in seconds.
     idle_s: float
-    # The same as a part of the run.
+    # Mean fraction of the run that trainers waited for samples.
     idle_part: float
-    # Time from opening to the last sample, median over steps.
+    # Median over steps of the time from opening to the last sample, in seconds.
     step_p50_s: float
-    # Time from opening to the last sample, most over steps.
+    # Maximum over steps of the time from opening to the last sample, in seconds.
     step_max_s: float
-    # Time from 90% of a step's samples to the last, in the mean.
+    # Mean time from 90% of a step's samples to the last sample, in seconds.
     tail_s: float
-    # Staleness at receipt in versions, in the mean.
+    # Mean staleness at receipt, in versions.
     staleness_mean: float
-    # Staleness that 95 of 100 samples stay within.
+    # 95th percentile of staleness at receipt, in versions.
     staleness_p95: int
-    # Most staleness.
+    # Maximum staleness at receipt, in versions.
     staleness_max: int
-    # Tokens of each trainer, as a part of all.
+    # Fraction of all delivered tokens, by trainer.
     token_parts: dict[str, float]
-    # Calls answered in time, as a part of all.
+    # Fraction of calls that were answered in time.
     on_time_part: float
-    # Answer time of calls to engines, median.
+    # Median answer time of calls to engines, in seconds.
     engine_p50_s: float
-    # Answer time that 99 of 100 calls to engines stay within.
+    # 99th percentile of answer times of calls to engines, in seconds.
     engine_p99_s: float
-    # Answer time of calls to plain services, median.
+    # Median answer time of calls to plain services, in seconds.
     service_p50_s: float
-    # Answer time that 99 of 100 calls to plain services stay within.
+    # 99th percentile of answer times of calls to plain services, in seconds.
     service_p99_s: float
-    # Refusals by kind.
+    # Number of refusals by error kind.
     refusals: dict[str, int]
-    # Prompts that engines had cached, as a part of all.
+    # Fraction of prompts that engines had cached.
     cache_hit_part: float
-    # Tokens made by engines and not delivered, as a part of all.
+    # Fraction of tokens that engines generated and no trainer took.
     wasted_part: float
-    # Samples that came twice or not at all, and other broken promises.
+    # Number of violated guarantees, such as missing or duplicate samples.
     violations: int
-    # Processor time of entries and agents, as a part of one core.
+    # Processor time of entries and agents, in cores.
     system_cores: float
-    # Memory of entries and agents, for each process.
+    # Mean memory of an entry or agent, in megabytes.
     memory_mb: float
 
 
 def percentile_s(durations: Iterable[float], percent: float) -> float:
-    """Return a percentile of durations; not a number without any."""
+    """Return a percentile of durations in seconds; NaN without durations."""
     histogram = HdrHistogram(1, 3_600_000_000, 3)
     for duration_s in durations:
         histogram.record_value(max(1, int(duration_s * 1e6)))
@@ -113,7 +113,7 @@
 
 
 class _PolicyRun:
-    """One policy on one cluster."""
+    """Runs the workload under one policy on one cluster, and measures the run."""
 
     def __init__(
         self, cluster: Cluster, config: ServiceConfig, seed: int, work: Workload
@@ -132,17 +132,17 @@
             self._slow_one_engine()
         started_s = time.monotonic()
         before = total_cost(self._pids)
-        self._run_work()
+        self._run_workload()
         after = total_cost(self._pids)
         run_s = time.monotonic() - started_s
         records = list(chain.from_iterable(item.records for item in self._callers))
         return Measures(
             policy=policy,
             seed=self._seed,
-            **self._trainer_measures(),
-            **self._call_measures(records),
-            **self._engine_measures(),
-            violations=len(self._violations(records)),
+            **self._measure_trainers(),
+            **self._measure_calls(records),
+            **self._measure_engines(),
+            violations=len(self._find_violations(records)),
             system_cores=(after.cpu_s - before.cpu_s) / run_s,
             memory_mb=after.memory_mb / len(self._pids),
         )
@@ -160,29 +160,29 @@
             for agent in self._cluster.agents_of(upstream.name)
         ]
 
-    def _run_work(self) -> None:
+    def _run_workload(self) -> None:
         callers = [
-            threading.Thread(target=item.run, args=(_LONGEST_S,), daemon=True)
+            threading.Thread(target=item.run, args=(_MAX_RUN_S,), daemon=True)
             for item in self._callers
         ]
-        workers = [
+        trainer_threads = [
             threading.Thread(target=item.run, args=(self._work.steps,), daemon=True)
             for item in self._trainers
         ]
-        for thread in (*callers, *workers):
+        for thread in (*callers, *trainer_threads):
             thread.start()
-        for worker in workers:
-            worker.join(_LONGEST_S)
+        for trainer_thread in trainer_threads:
+            trainer_thread.join(_MAX_RUN_S)
         for caller in self._callers:
             caller.stopped.set()
         for thread in callers:
             thread.join()
 
-    def _trainer_measures(self) -> dict[str, Any]:
+    def _measure_trainers(self) -> dict[str, Any]:
         logs = [trainer.log for trainer in self._trainers]
         staleness = sorted(chain.from_iterable(log.staleness for log in logs))
-        steps = list(chain.from_iterable(log.step_s[_WARM_STEPS:] for log in logs))
-        tails = list(chain.from_iterable(log.tail_s[_WARM_STEPS:] for log in logs))
+        steps = list(chain.from_iterable(log.step_s[_WARM_UP_STEPS:] for log in logs))
+        tails = list(chain.from_iterable(log.tail_s[_WARM_UP_STEPS:] for log in logs))
         tokens = {
             trainer.name: sum(item.token_count for _s, item, _n in trainer.log.taken)
             for trainer in self._trainers
@@ -197,16 +197,16 @@
             "staleness_mean": fmean(staleness),
             "staleness_p95": staleness[int(0.95 * (len(staleness) - 1))],
             "staleness_max": staleness[-1],
-            "token_parts": {name: made / total for name, made in tokens.items()},
+            "token_parts": {name: count / total for name, count in tokens.items()},
         }
 
-    def _call_measures(self, records: Sequence[CallRecord]) -> dict[str, Any]:
+    def _measure_calls(self, records: Sequence[CallRecord]) -> dict[str, Any]:
         durations: dict[bool, list[float]] = defaultdict(list)
         for record in records:
             if record.status == 200:
                 durations[record.operation == "completion"].append(record.duration_s)
         on_time = sum(
-            record.status == 200 and record.duration_s <= _on_time_s(record)
+            record.status == 200 and record.duration_s <= _call_limit_s(record)
             for record in records
         )
         refusals = Counter(record.error for record in records if record.error)
@@ -219,15 +219,15 @@
             "refusals": dict(refusals),
         }
 
-    def _engine_measures(self) -> dict[str, Any]:
-        hits = misses = made = 0
+    def _measure_engines(self) -> dict[str, Any]:
+        hits = misses = generated = 0
         for engine in self._engines():
             reply = self._cluster.request(engine, "GET", "/record")
             if isinstance(reply, HttpReply):
                 fields = reply.json()
                 hits += fields["cache_hits"]
                 misses += fields["cache_misses"]
-                made += sum(
+                generated += sum(
                     run["tokens"] for run in fields["runs"] if "/" in run["request_id"]
                 )
         delivered = sum(
@@ -237,10 +237,10 @@
         )
         return {
             "cache_hit_part": hits / max(1, hits + misses),
-            "wasted_part": max(0, made - delivered) / max(1, made),
+            "wasted_part": max(0, generated - delivered) / max(1, generated),
         }
 
-    def _violations(self, records: Sequence[CallRecord]) -> list[str]:
+    def _find_violations(self, records: Sequence[CallRecord]) -> list[str]:
         services = [
             runs
             for upstream in self._config.upstreams
@@ -271,12 +271,12 @@
         return TrainerOutcome(trainer.name, bound, samples, trainer.log)
 
 
-def _on_time_s(record: CallRecord) -> float:
-    return 4 * _ON_TIME_S if record.operation == "completion" else _ON_TIME_S
+def _call_limit_s(record: CallRecord) -> float:
+    return 4 * _CALL_LIMIT_S if record.operation == "completion" else _CALL_LIMIT_S
 
 
-def _changed(deployment: Deployment, work: Workload) -> Deployment:
-    """Return a deployment with the workload's changes."""
+def _apply_workload(deployment: Deployment, work: Workload) -> Deployment:
+    """Return the deployment with the changes of the workload."""
     trainers = tuple(
         plan if work.train_s is None else attrs.evolve(plan, train_s=work.train_s)
         for plan in deployment.trainers
@@ -289,14 +289,14 @@
 
 
 def run_policy(name: str, policy: str, seed: int, work: Workload) -> Measures:
-    """Run one policy on a fresh cluster."""
+    """Run one policy on a new cluster."""
     deployment, text = load_deployment(name)
     text = text.replace("name: fair", f"name: {policy}")
     config, faults = check_document(text)
     if config is None:
         raise click.ClickException("; ".join(map(str, faults)))
     with tempfile.TemporaryDirectory(prefix="pistachioglade-") as folder:
-        changed = _changed(deployment, work)
+        changed = _apply_workload(deployment, work)
         with start_cluster(Path(folder), changed, trace_file="") as cluster:
             cluster.apply(text)
             return _PolicyRun(cluster, config, seed, work).run(policy)
@@ -310,7 +310,10 @@
 
 
 def render_comparison(measures: Sequence[Measures]) -> str:
-    """Return a table of medians over the seeds, with the ratio of the policies."""
+    """Return a table of medians over the seeds with the ratio of the policies.
+
+    A line with tokens and refusals for each run follows the table.
+    """
     fields = [
         field.name
         for field in attrs.fields(Measures)
--- a/pistachioglade/load/_costs.py
+++ b/pistachioglade/load/_costs.py
@@ -1,4 +1,4 @@
-"""What processes cost, read from the kernel's process table."""
+"""Processor time and memory of processes, read from ``/proc``."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 _TICKS_PER_S: Final = os.sysconf("SC_CLK_TCK")
 _PAGE_BYTES: Final = os.sysconf("SC_PAGE_SIZE")
-_MEGA: Final = 1e6
+_BYTES_PER_MB: Final = 1e6
 
 
 @attrs.frozen
 class ProcessCost:
-    """One reading of one process."""
+    """Processor time and memory of one process, or the sum over several."""
 
-    # Processor time so far.
+    # Processor time since the start, in seconds.
     cpu_s: float
-    # Memory that it has in use.
+    # Resident memory, in megabytes.
     memory_mb: float
 
 
@@ -33,11 +33,11 @@
         return None
     fields = stat.rpartition(")")[2].split()
     ticks = int(fields[11]) + int(fields[12])
-    return ProcessCost(ticks / _TICKS_PER_S, int(pages) * _PAGE_BYTES / _MEGA)
+    return ProcessCost(ticks / _TICKS_PER_S, int(pages) * _PAGE_BYTES / _BYTES_PER_MB)
 
 
 def total_cost(pids: Iterable[int]) -> ProcessCost:
-    """Return the sum over processes that are still there."""
+    """Return the sum over the processes that still run."""
     costs = [cost for cost in map(read_cost, pids) if cost is not None]
     return ProcessCost(
         sum(cost.cpu_s for cost in costs), sum(cost.memory_mb for cost in costs)
--- a/pistachioglade/load/_deployment.py
+++ b/pistachioglade/load/_deployment.py
@@ -1,4 +1,4 @@
-"""What the load tool starts for a deployment, from its YAML file."""
+"""Plan of the processes and the workload of a deployment, from a YAML file."""
 
 from __future__ import annotations
 
@@ -11,38 +11,38 @@
 
 @attrs.frozen
 class UpstreamPlan:
-    """Instances of one upstream, an agent beside each."""
+    """Instances of one upstream, each with its own agent."""
 
     # Name of the upstream.
     name: str
-    # What stands behind it.
+    # Kind of the upstream.
     kind: UpstreamKind
-    # How many instances.
+    # Number of instances.
     instances: int
-    # Requests that each takes at once.
+    # Number of concurrent requests of each instance.
     slots: int
-    # How many of the engines ignore fencing numbers.
+    # Number of engines that ignore fencing tokens.
     ignore_fence_instances: int = 0
 
 
 @attrs.frozen
 class TrainerPlan:
-    """The steps that one trainer asks for."""
+    """Size of one trainer's steps, and its training time."""
 
     # Name, as in the declarative file.
     name: str
-    # Groups in a step.
+    # Number of groups in a step.
     groups: int
-    # Samples in a group.
+    # Number of samples in a group.
     samples_per_group: int
-    # Most tokens in a sample.
+    # Maximum number of tokens in a sample.
     max_tokens: int
-    # Time that training on a step takes.
+    # Duration of training on one step, in seconds.
     train_s: float
 
     @property
     def step_samples(self) -> int:
-        """How many samples a step has."""
+        """Number of samples in a step."""
         return self.groups * self.samples_per_group
 
 
@@ -56,23 +56,23 @@
     upstream: str
     # Operation to call.
     operation: str
-    # Whether each call carries a key of a ticket.
+    # Whether each call carries an idempotency key from a ticket.
     keyed: bool
-    # Calls a second.
+    # Mean rate of calls, per second.
     rate_per_s: float
 
 
 @attrs.frozen
 class Deployment:
-    """One deployment of the brief."""
+    """One deployment: its processes, workload and timing."""
 
     # Region.
     region: str
     # Failure domains.
     domains: tuple[str, ...]
-    # One way between failure domains; told, not emulated.
+    # One-way latency between failure domains in milliseconds; not emulated.
     one_way_latency_ms: float
-    # How many entries.
+    # Number of entries.
     entries: int
     # The upstreams.
     upstreams: tuple[UpstreamPlan, ...]
@@ -80,15 +80,15 @@
     trainers: tuple[TrainerPlan, ...]
     # The callers.
     callers: tuple[CallerPlan, ...]
-    # Size of each version's weights.
+    # Size of the weights of each version.
     weights_bytes: int = 2_000_000
-    # Rate limit of the weight store.
+    # Rate limit of the weight store, in bytes per second.
     store_bytes_per_s: float = 8e6
-    # Time of one tick of an engine.
+    # Duration of one tick of an engine, in seconds.
     tick_s: float = 0.02
-    # Time of one call of a plain service.
+    # Duration of one call of a plain service, in seconds.
     service_work_s: float = 0.005
-    # Time that an engine pauses for a swap.
+    # Pause of an engine for a swap of weights, in seconds.
     swap_s: float = 0.2
 
 
--- a/pistachioglade/load/_experiments.py
+++ b/pistachioglade/load/_experiments.py
@@ -1,6 +1,6 @@
-"""Experiments on one question each, with real processes.
+"""Experiments with real processes, each on one property of the service.
 
-Each returns rows of a table: what, and its figure with the unit in its name.
+Each experiment returns table rows of a name, which contains the unit, and a figure.
 """
 
 from __future__ import annotations
@@ -30,17 +30,17 @@
 from ._trainers import SimulatedTrainer
 
 _PHASE_S: Final = 20.0
-_MANY_STEPS: Final = 10_000
+_UNLIMITED_STEPS: Final = 10_000
 _BUDGET_S: Final = 5.0
 
 Row = tuple[str, float]
 
 
 @contextmanager
-def _running(
+def _start_deployment(
     deployment: Deployment, text: str
 ) -> Iterator[tuple[Cluster, ServiceConfig]]:
-    """Give out a cluster with a file in force."""
+    """Start a cluster with a declarative file; yield the cluster and its config."""
     config, faults = check_document(text)
     if config is None:
         raise ClusterError("; ".join(map(str, faults)))
@@ -53,7 +53,7 @@
 
 
 def _start_trainers(
-    cluster: Cluster, config: ServiceConfig, steps: int = _MANY_STEPS
+    cluster: Cluster, config: ServiceConfig, steps: int = _UNLIMITED_STEPS
 ) -> list[SimulatedTrainer]:
     trainers = make_trainers(cluster, config, 1)
     for trainer in trainers:
@@ -61,8 +61,8 @@
     return trainers
 
 
-def _hungry(deployment: Deployment) -> Deployment:
-    """Return a deployment whose trainers always have work."""
+def _saturate(deployment: Deployment) -> Deployment:
+    """Return the deployment with trainers that saturate the engines."""
     trainers = tuple(
         attrs.evolve(plan, groups=plan.groups * 6, train_s=0.0)
         for plan in deployment.trainers
@@ -70,15 +70,15 @@
     return attrs.evolve(deployment, trainers=trainers)
 
 
-def _lookup_phase(
+def _measure_lookups(
     cluster: Cluster, name: str, plan: CallerPlan
 ) -> tuple[list[Row], list[CallRecord]]:
     caller = SimulatedCaller(plan, cluster.entry_urls(), _BUDGET_S, seed=1)
     caller.run(_PHASE_S)
     answered = [item.duration_s for item in caller.records if item.status == 200]
-    part = len(answered) / max(1, len(caller.records))
+    answered_fraction = len(answered) / max(1, len(caller.records))
     rows = [
-        (f"{name}: answered_part", part),
+        (f"{name}: answered_part", answered_fraction),
         (f"{name}: p50_s", percentile_s(answered, 50)),
         (f"{name}: p99_s", percentile_s(answered, 99)),
     ]
@@ -86,11 +86,11 @@
 
 
 def lookups() -> list[Row]:
-    """Measure lookups on engines: idle, saturated, and with parts failing."""
+    """Measure lookups on engines: idle, saturated, and with failed components."""
     deployment, text = load_deployment("vereniging")
     plan = CallerPlan("lawyers", "jurist-lm", "completion", False, 8.0)
     rows: list[Row] = []
-    with _running(_hungry(deployment), text) as (cluster, config):
+    with _start_deployment(_saturate(deployment), text) as (cluster, config):
         phases: list[tuple[str, Callable[[], Any]]] = [
             ("idle", lambda: None),
             ("saturated", lambda: _start_trainers(cluster, config)),
@@ -101,7 +101,7 @@
         for name, begin in phases:
             begin()
             time.sleep(4.0 if name == "saturated" else 0.0)
-            rows += _lookup_phase(cluster, name, plan)[0]
+            rows += _measure_lookups(cluster, name, plan)[0]
     return rows
 
 
@@ -116,30 +116,30 @@
 
 
 def shares() -> list[Row]:
-    """Measure shares of tokens over a minute, with two trainers at load."""
+    """Measure the token shares of trainers over one minute of saturation."""
     deployment, text = load_deployment("vereniging")
-    with _running(_hungry(deployment), text) as (cluster, config):
+    with _start_deployment(_saturate(deployment), text) as (cluster, config):
         _start_trainers(cluster, config)
         time.sleep(10.0)
         since_unix_s = time.time()
         time.sleep(70.0)
         runs = list(chain.from_iterable(cluster.runs("jurist-lm").values()))
-    made: Counter[str] = Counter()
+    tokens: Counter[str] = Counter()
     for run in runs:
         if since_unix_s <= run["unix_s"] < since_unix_s + 60.0:
-            made[run["request_id"].partition("/")[0]] += run["tokens"]
-    total = sum(made.values())
+            tokens[run["request_id"].partition("/")[0]] += run["tokens"]
+    total = sum(tokens.values())
     return [
         (f"{trainer.name}: {kind}_percent", figure)
         for trainer in config.trainers
         for kind, figure in (
             ("promised", float(trainer.share_percent)),
-            ("received", 100.0 * made[trainer.name] / total),
+            ("received", 100.0 * tokens[trainer.name] / total),
         )
     ]
 
 
-def _offered(
+def _run_offered_load(
     cluster: Cluster, rate_per_s: float, duration_s: float
 ) -> list[CallRecord]:
     plan = CallerPlan("lawyers", "archief-app", "lookup", False, rate_per_s)
@@ -149,7 +149,7 @@
 
 
 def overload() -> list[Row]:
-    """Measure goodput of a plain service at and beyond its capacity."""
+    """Measure the goodput of a plain service below, at and beyond its capacity."""
     deployment, text = load_deployment("vereniging")
     slow = attrs.evolve(deployment, service_work_s=0.2)
     slots = sum(
@@ -159,25 +159,30 @@
     )
     capacity_per_s = slots / slow.service_work_s
     rows: list[Row] = [("capacity_per_s", capacity_per_s)]
-    with _running(slow, text) as (cluster, _config):
+    with _start_deployment(slow, text) as (cluster, _config):
         for factor in (0.5, 0.9, 1.0, 1.5, 2.0):
-            records = _offered(cluster, factor * capacity_per_s, 12.0)
+            records = _run_offered_load(cluster, factor * capacity_per_s, 12.0)
             good = [item for item in records if item.status == 200]
             refused = [item.duration_s for item in records if item.status >= 500]
-            says = [item for item in records if item.retry_after_s is not None]
+            with_retry_after = [
+                item for item in records if item.retry_after_s is not None
+            ]
             rows += [
                 (f"offered {factor}: goodput_per_s", len(good) / 12.0),
                 (f"offered {factor}: refused_part", len(refused) / len(records)),
                 (f"offered {factor}: refusal_p50_s", percentile_s(refused, 50)),
                 (f"offered {factor}: refusal_p99_s", percentile_s(refused, 99)),
-                (f"offered {factor}: says_when_part", len(says) / max(1, len(refused))),
+                (
+                    f"offered {factor}: says_when_part",
+                    len(with_retry_after) / max(1, len(refused)),
+                ),
             ]
     return rows
 
 
 def _median_call_s(call: Callable[[], Any]) -> float:
     spent = []
-    for _turn in range(400):
+    for _attempt in range(400):
         started_s = time.perf_counter()
         reply = call()
         spent.append(time.perf_counter() - started_s)
@@ -187,11 +192,11 @@
 
 
 def overhead() -> list[Row]:
-    """Measure what the system adds to a lookup, against the upstream alone."""
+    """Measure the latency that the service adds to a direct call of the upstream."""
     deployment, text = load_deployment("vereniging")
     quick = attrs.evolve(deployment, service_work_s=0.0)
-    with _running(quick, text) as (cluster, _config):
-        straight_s = _median_call_s(
+    with _start_deployment(quick, text) as (cluster, _config):
+        direct_s = _median_call_s(
             lambda: cluster.request(
                 "archief-app-0", "POST", "/operations/lookup", {"id": "x"}
             )
@@ -206,18 +211,18 @@
             )
         )
     return [
-        ("straight: p50_s", straight_s),
+        ("straight: p50_s", direct_s),
         ("through: p50_s", through_s),
-        ("added: p50_s", through_s - straight_s),
+        ("added: p50_s", through_s - direct_s),
     ]
 
 
 def weights() -> list[Row]:
-    """Measure a publication's way to all engines, by the number of agents."""
-    return list(chain.from_iterable(map(_weights_at, (4, 8, 16))))
+    """Measure the distribution of new weights to all engines, by number of engines."""
+    return list(chain.from_iterable(map(_measure_weights, (4, 8, 16))))
 
 
-def _weights_at(engines: int) -> Iterable[Row]:
+def _measure_weights(engines: int) -> Iterable[Row]:
     deployment, text = load_deployment("vereniging")
     upstreams = tuple(
         attrs.evolve(plan, instances=engines)
@@ -226,11 +231,11 @@
     )
     size_bytes = 4_000_000
     changed = attrs.evolve(deployment, upstreams=upstreams, weights_bytes=size_bytes)
-    with _running(changed, text) as (cluster, config):
+    with _start_deployment(changed, text) as (cluster, config):
         trainer = make_trainers(cluster, config, 1)[0]
         started_s = time.monotonic()
         trainer.publish(1)
-        cluster.wait("all engines", lambda: _all_hold(cluster, "summaries", 1))
+        cluster.wait("all engines", lambda: _have_version(cluster, "summaries", 1))
         spent_s = time.monotonic() - started_s
         reply: Any = cluster.request("weight-store", "GET", "/control/sent")
         sent = reply.json()["sent_bytes"] / size_bytes
@@ -242,7 +247,7 @@
     ]
 
 
-def _all_hold(cluster: Cluster, model: str, version: int) -> bool:
+def _have_version(cluster: Cluster, model: str, version: int) -> bool:
     nodes = cluster.admin("GET", "status")["nodes"]
     held: Sequence[dict[str, int]] = [
         versions
--- a/pistachioglade/load/_fault_plan.py
+++ b/pistachioglade/load/_fault_plan.py
@@ -1,4 +1,4 @@
-"""Faults and their seeded schedule."""
+"""Faults of a cluster and their seeded schedule."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 from ._cluster import Cluster
 from ._relays import RelayState
 
-_FREEZE_S: Final = (1.0, 11.0)
-_OUTAGE_S: Final = (2.0, 10.0)
-_DOWN_S: Final = (0.5, 4.0)
+_FREEZE_RANGE_S: Final = (1.0, 11.0)
+_OUTAGE_RANGE_S: Final = (2.0, 10.0)
+_DOWN_RANGE_S: Final = (0.5, 4.0)
 
 
 @attrs.frozen
 class Kill:
-    """End a process at once; start it again later."""
+    """Kill a process; restart the process later."""
 
-    # Process.
+    # Name of the process.
     name: str
-    # Time until it is started again.
+    # Time until the restart, in seconds.
     for_s: float
 
 
 @attrs.frozen
 class Freeze:
-    """Stop a process without its knowledge, then let it go on."""
+    """Suspend a process and resume it later."""
 
-    # Process.
+    # Name of the process.
     name: str
-    # Time that it stands still.
+    # Duration of the suspension, in seconds.
     for_s: float
 
 
@@ -42,55 +42,55 @@
 class Cut:
     """Cut or stall the links to a node."""
 
-    # Node.
+    # Name of the node.
     name: str
-    # What its relay does.
+    # State of the node's relay.
     state: RelayState
-    # For how long.
+    # Duration, in seconds.
     for_s: float
 
 
 @attrs.frozen
 class PlannedStop:
-    """Stop a node in order; start it again later."""
+    """Shut a node down gracefully; restart the node later."""
 
-    # Node.
+    # Name of the node.
     name: str
-    # Time until it is started again.
+    # Time until the restart, in seconds.
     for_s: float
 
 
 @attrs.frozen
 class Script:
-    """Script faults at a stand-in."""
+    """Set scripted faults at a stand-in."""
 
-    # Stand-in.
+    # Name of the stand-in.
     name: str
     # Fault fields to set.
     fields: dict[str, Any]
-    # Fault fields that end it.
+    # Fault fields to set at the end.
     undo: dict[str, Any]
-    # For how long.
+    # Duration, in seconds.
     for_s: float
 
 
 @attrs.frozen
 class Race:
-    """Two operators apply different files at the same moment."""
+    """Two operators apply different files at the same time."""
 
-    # Tells the two files apart from those of other races.
+    # Serial number, which makes the files differ from the files of other races.
     number: int
-    # A race is over at once.
+    # Duration in seconds; a race has none.
     for_s: float = 0.0
 
 
 @attrs.frozen
 class KillTrainer:
-    """End a trainer; it goes on from its checkpoint."""
+    """Kill a trainer, which resumes from its checkpoint."""
 
-    # Place of the trainer in the deployment.
+    # Index of the trainer in the deployment.
     number: int
-    # A kill is over at once.
+    # Duration in seconds; a kill of a trainer has none.
     for_s: float = 0.0
 
 
@@ -99,17 +99,17 @@
 
 @attrs.frozen
 class TimedFault:
-    """A fault and its time."""
+    """A fault and its start time."""
 
-    # Time from the start of the run.
+    # Time from the start of the run, in seconds.
     at_s: float
-    # The fault.
+    # Fault to begin.
     fault: Fault
 
 
 @singledispatch
 def begin(fault: Any, cluster: Cluster) -> None:
-    """Bring a fault about."""
+    """Begin a fault."""
     raise TypeError(f"no fault: {fault!r}")
 
 
@@ -140,7 +140,7 @@
 
 @singledispatch
 def end(fault: Any, cluster: Cluster) -> None:
-    """Undo a fault."""
+    """End a fault."""
     raise TypeError(f"no fault: {fault!r}")
 
 
@@ -170,8 +170,8 @@
     cluster.request(fault.name, "POST", "/control/faults", fault.undo)
 
 
-class _Maker:
-    """Draws faults for one cluster."""
+class _FaultGenerator:
+    """Draws random faults for one cluster."""
 
     def __init__(self, cluster: Cluster, rng: random.Random) -> None:
         plans = cluster.deployment.upstreams
@@ -210,42 +210,42 @@
         ]
         return self._rng.choice(makers)()
 
-    def _choose(
+    def _choose_fields(
         self, pairs: list[tuple[dict[str, Any], dict[str, Any]]]
     ) -> tuple[dict[str, Any], dict[str, Any]]:
         return self._rng.choice(pairs)
 
-    def _down_s(self) -> float:
-        return self._rng.uniform(*_DOWN_S)
+    def _draw_down_s(self) -> float:
+        return self._rng.uniform(*_DOWN_RANGE_S)
 
     def _kill(self) -> Fault:
         names = [*self._nodes, *self._engines, *self._services]
-        return Kill(self._rng.choice(names), self._down_s())
+        return Kill(self._rng.choice(names), self._draw_down_s())
 
     def _freeze(self) -> Fault:
         names = [*self._nodes, *self._engines, *self._services]
-        return Freeze(self._rng.choice(names), self._rng.uniform(*_FREEZE_S))
+        return Freeze(self._rng.choice(names), self._rng.uniform(*_FREEZE_RANGE_S))
 
     def _cut(self) -> Fault:
         state = self._rng.choice([RelayState.CUT, RelayState.STALLED])
         name = self._rng.choice(self._nodes)
-        return Cut(name, state, self._rng.uniform(*_OUTAGE_S))
+        return Cut(name, state, self._rng.uniform(*_OUTAGE_RANGE_S))
 
     def _planned_stop(self) -> Fault:
-        return PlannedStop(self._rng.choice(self._nodes), self._down_s())
+        return PlannedStop(self._rng.choice(self._nodes), self._draw_down_s())
 
     def _object_api(self) -> Fault:
-        fields, undo = self._choose(
+        fields, undo = self._choose_fields(
             [
                 ({"down": True}, {"down": False}),
                 ({"slow_s": 1.0}, {"slow_s": 0.0}),
                 ({"lose_answers": 3}, {"lose_answers": 0}),
             ]
         )
-        return Script("object-api", fields, undo, self._rng.uniform(*_OUTAGE_S))
+        return Script("object-api", fields, undo, self._rng.uniform(*_OUTAGE_RANGE_S))
 
     def _engine(self) -> Fault:
-        fields, undo = self._choose(
+        fields, undo = self._choose_fields(
             [
                 ({"truncate": 3}, {"truncate": 0}),
                 ({"slow_factor": 6.0}, {"slow_factor": 1.0}),
@@ -254,10 +254,10 @@
             ]
         )
         name = self._rng.choice(self._engines)
-        return Script(name, fields, undo, self._rng.uniform(*_OUTAGE_S))
+        return Script(name, fields, undo, self._rng.uniform(*_OUTAGE_RANGE_S))
 
     def _service(self) -> Fault:
-        fields, undo = self._choose(
+        fields, undo = self._choose_fields(
             [
                 ({"truncate": 5}, {"truncate": 0}),
                 ({"shuffle": 5}, {"shuffle": 0}),
@@ -266,7 +266,7 @@
             ]
         )
         name = self._rng.choice(self._services)
-        return Script(name, fields, undo, self._rng.uniform(*_OUTAGE_S))
+        return Script(name, fields, undo, self._rng.uniform(*_OUTAGE_RANGE_S))
 
     def _race(self) -> Fault:
         self._races += 1
@@ -279,15 +279,15 @@
 def make_schedule(
     cluster: Cluster, seed: int, duration_s: float, gap_s: float
 ) -> tuple[TimedFault, ...]:
-    """Return the faults of a seed, ``gap_s`` apart in the mean.
+    """Return the faults of a seed, with a mean gap of ``gap_s`` seconds.
 
     The same seed gives the same faults.
     """
     rng = random.Random(seed)
-    maker = _Maker(cluster, rng)
+    generator = _FaultGenerator(cluster, rng)
     schedule = []
     at_s = rng.expovariate(1 / gap_s)
     while at_s < duration_s:
-        schedule.append(TimedFault(at_s, maker.draw()))
+        schedule.append(TimedFault(at_s, generator.draw()))
         at_s += rng.expovariate(1 / gap_s)
     return tuple(schedule)
--- a/pistachioglade/load/_fault_run.py
+++ b/pistachioglade/load/_fault_run.py
@@ -1,4 +1,4 @@
-"""Runs a deployment under seeded faults and checks every promise."""
+"""Runs a deployment under seeded faults and checks the service's guarantees."""
 
 from __future__ import annotations
 
@@ -39,29 +39,29 @@
 from ._trainers import SimulatedTrainer
 
 _POLL_S: Final = 0.25
-_LONGEST_S: Final = 1000.0
-_MANY_STEPS: Final = 100_000
-_HEAL_BOUND_S: Final = 120.0
+_MAX_RUN_S: Final = 1000.0
+_UNLIMITED_STEPS: Final = 100_000
+_RECOVERY_BOUND_S: Final = 120.0
 
 
 @attrs.frozen
 class FaultResult:
-    """The outcome of one seed."""
+    """Counts and violations of the run of one seed."""
 
     # Seed of the schedule.
     seed: int
-    # Faults that were brought about, by kind.
+    # Number of faults that began, by kind.
     faults: dict[str, int]
-    # Samples taken.
+    # Number of samples that trainers took.
     samples: int
-    # Calls made.
+    # Number of calls that callers made.
     calls: int
-    # Promises that were broken.
+    # Descriptions of violated guarantees.
     violations: tuple[str, ...]
 
 
 class _Run:
-    """One run of one seed."""
+    """Runs the workload and the faults of one seed on one cluster."""
 
     def __init__(self, cluster: Cluster, config: ServiceConfig, text: str, seed: int):
         self._cluster = cluster
@@ -70,38 +70,40 @@
         self._seed = seed
         self._trainers = make_trainers(cluster, config, seed)
         self._callers = make_callers(cluster, seed)
-        self._seen: list[SeenGeneration] = []
-        self._race_faults: list[str] = []
-        self._busy: set[str] = set()
+        self._seen_generations: list[SeenGeneration] = []
+        self._race_violations: list[str] = []
+        self._faulty_processes: set[str] = set()
         self._faults: dict[str, int] = {}
 
     def run(self, duration_s: float, gap_s: float) -> FaultResult:
         workers = [
-            threading.Thread(target=trainer.run, args=(_MANY_STEPS,), daemon=True)
+            threading.Thread(target=trainer.run, args=(_UNLIMITED_STEPS,), daemon=True)
             for trainer in self._trainers
         ]
         callers = [
-            threading.Thread(target=caller.run, args=(_LONGEST_S,), daemon=True)
+            threading.Thread(target=caller.run, args=(_MAX_RUN_S,), daemon=True)
             for caller in self._callers
         ]
-        over = threading.Event()
-        watcher = threading.Thread(target=self._watch, args=(over,), daemon=True)
+        run_ended = threading.Event()
+        watcher = threading.Thread(
+            target=self._poll_generations, args=(run_ended,), daemon=True
+        )
         for thread in (*workers, *callers, watcher):
             thread.start()
-        self._play(duration_s, gap_s)
+        self._run_schedule(duration_s, gap_s)
         for caller in self._callers:
             caller.stopped.set()
         for trainer in self._trainers:
             trainer.stopped.set()
         for thread in (*workers, *callers):
-            thread.join(_HEAL_BOUND_S)
-        over.set()
+            thread.join(_RECOVERY_BOUND_S)
+        run_ended.set()
         watcher.join()
         stuck = [thread.name for thread in (*workers, *callers) if thread.is_alive()]
         return self._result(stuck)
 
-    def _play(self, duration_s: float, gap_s: float) -> None:
-        """Begin and end faults in time, then end what is left."""
+    def _run_schedule(self, duration_s: float, gap_s: float) -> None:
+        """Begin and end the scheduled faults; return when all faults have ended."""
         started_s = time.monotonic()
         pending: list[tuple[float, int, Fault]] = []
         order = itertools.count()
@@ -118,9 +120,12 @@
             time.sleep(0.02)
 
     def _begin(self, fault: Fault) -> bool:
-        """Bring a fault about, unless its process is in one already."""
+        """Begin a fault unless its process already has one.
+
+        Return whether the fault has to be ended later.
+        """
         name = getattr(fault, "name", "")
-        if name in self._busy:
+        if name in self._faulty_processes:
             return False
         kind = type(fault).__name__
         self._faults[kind] = self._faults.get(kind, 0) + 1
@@ -130,23 +135,25 @@
         if isinstance(fault, KillTrainer):
             self._trainers[fault.number].killed.set()
             return False
-        self._busy.add(name)
+        self._faulty_processes.add(name)
         begin(fault, self._cluster)
         return True
 
     def _end(self, fault: Fault) -> None:
         end(fault, self._cluster)
-        self._busy.discard(getattr(fault, "name", ""))
+        self._faulty_processes.discard(getattr(fault, "name", ""))
 
     def _race(self, fault: Race) -> None:
-        """Apply two files at once through two entries; at most one may win."""
-        texts = [_variant(self._text, 2 * fault.number + side) for side in (0, 1)]
+        """Apply two files at once through two entries; record a shared generation."""
+        texts = [_vary_file(self._text, 2 * fault.number + side) for side in (0, 1)]
         entries = self._cluster.names("entry-")
         with ThreadPoolExecutor(2) as pool:
             replies = list(pool.map(self._apply, entries, texts))
-        won = [item for item in replies if item is not None]
-        if len(won) == 2 and won[0] == won[1]:
-            self._race_faults.append(f"configuration: both won generation {won[0]}")
+        generations = [item for item in replies if item is not None]
+        if len(generations) == 2 and generations[0] == generations[1]:
+            self._race_violations.append(
+                f"configuration: both won generation {generations[0]}"
+            )
 
     def _apply(self, entry: str, text: str) -> int | None:
         reply = self._cluster.request(
@@ -156,19 +163,19 @@
             return int(reply.json()["generation"])
         return None
 
-    def _watch(self, over: threading.Event) -> None:
-        """Note the generation of every node, over and over."""
-        while not over.wait(_POLL_S):
+    def _poll_generations(self, run_ended: threading.Event) -> None:
+        """Record the generations of all nodes periodically until the run ends."""
+        while not run_ended.wait(_POLL_S):
             for entry in self._cluster.names("entry-"):
                 reply = self._cluster.request(
                     entry, "GET", "/admin/v1/status", None, OPERATOR_TOKEN, 3.0
                 )
                 if isinstance(reply, HttpReply) and reply.status == 200:
-                    self._note_status(reply.json())
+                    self._record_generations(reply.json())
 
-    def _note_status(self, fields: dict[str, Any]) -> None:
+    def _record_generations(self, fields: dict[str, Any]) -> None:
         at_s = time.monotonic()
-        self._seen += [
+        self._seen_generations += [
             SeenGeneration(at_s, f"{item['node']}", item["status"]["generation"])
             for item in fields["nodes"]
             if item["status"] and item["status"]["generation"]
@@ -213,23 +220,25 @@
         yield from check_whole_answers(records)
         yield from check_not_run(records, services)
         yield from check_at_most_once(services, once)
-        yield from check_generations(self._seen)
-        yield from self._race_faults
-        yield from self._everywhere()
-        yield from check_record(outcomes, self._ledger())
-
-    def _everywhere(self) -> Iterator[str]:
-        """Check that every node has the same generation after the run."""
-        top = max((item.generation for item in self._seen), default=0)
+        yield from check_generations(self._seen_generations)
+        yield from self._race_violations
+        yield from self._check_convergence()
+        yield from check_record(outcomes, self._read_ledger())
+
+    def _check_convergence(self) -> Iterator[str]:
+        """Yield a violation unless all running nodes reach the last generation."""
+        last_generation = max(
+            (item.generation for item in self._seen_generations), default=0
+        )
         try:
             self._cluster.wait(
                 "the last generation everywhere",
-                lambda: self._cluster.generation_everywhere(top),
+                lambda: self._cluster.generation_everywhere(last_generation),
             )
         except ClusterError as error:
             yield f"configuration: {error}"
 
-    def _ledger(self) -> list[StepRecord]:
+    def _read_ledger(self) -> list[StepRecord]:
         stored = ObjectApi(self._cluster.urls["object-api"]).list("ledger/")
         if isinstance(stored, Refusal):
             return []
@@ -240,25 +249,25 @@
             seed=self._seed,
             faults=dict(sorted(self._faults.items())),
             samples=sum(len(item.log.taken) for item in self._trainers),
-            calls=sum(map(_call_count, self._callers)),
+            calls=sum(map(_count_calls, self._callers)),
             violations=tuple(self._violations(stuck)),
         )
 
 
-def _call_count(caller: SimulatedCaller) -> int:
+def _count_calls(caller: SimulatedCaller) -> int:
     return len(caller.records)
 
 
-def _variant(text: str, number: int) -> str:
-    """Return a file that differs from every other variant."""
+def _vary_file(text: str, number: int) -> str:
+    """Return the file with another hedge percentage; variants repeat after 90."""
     return text.replace("hedge_percent: 5", f"hedge_percent: {5 + number % 90}")
 
 
 def unused_folder(parent: Path, name: str) -> Path:
-    """Return a folder that doesn't exist yet, ``name`` or ``name-2`` and so on.
+    """Return the first folder of ``name``, ``name-2`` and so on that does not exist.
 
-    In the folder of an earlier run the stand-ins' records of that run would count for
-    this one, and each call would look as if it had run twice.
+    The stand-ins append to their records. In the folder of an earlier run, the checks
+    would count the records of both runs, and each call twice.
     """
     numbered = (parent / f"{name}-{number}" for number in itertools.count(2))
     folders = itertools.chain((parent / name,), numbered)
@@ -268,7 +277,7 @@
 def run_faults(
     name: str, seed: int, duration_s: float, gap_s: float, folder: str | None
 ) -> FaultResult:
-    """Run one seed against a deployment of the brief."""
+    """Run the workload and faults of one seed on a new cluster."""
     deployment, text = load_deployment(name)
     config, faults = check_document(text)
     if config is None:
--- a/pistachioglade/load/_lookups.py
+++ b/pistachioglade/load/_lookups.py
@@ -1,4 +1,4 @@
-"""Simulated callers: an open loop of calls at a fixed rate."""
+"""Simulated callers: an open loop of calls with a fixed mean rate."""
 
 from __future__ import annotations
 
@@ -24,30 +24,30 @@
 
 @attrs.frozen
 class CallRecord:
-    """One call, as its caller saw it."""
+    """Outcome of one call, as observed by the caller."""
 
-    # Serial number, which is also in the payload.
+    # Serial number of the call, which the payload contains.
     number: int
     # Name of the caller.
     caller: str
     # Operation that was called.
     operation: str
-    # HTTP status; 0 when no answer came.
+    # HTTP status; 0 without an answer.
     status: int
-    # Error kind; empty for an answer.
+    # Error kind; empty for a successful answer.
     error: str
-    # What the answer says of the execution.
+    # Execution state from the answer; "unknown" without an answer.
     execution: str
-    # Time from the planned start to the answer.
+    # Time from the planned start to the answer, in seconds.
     duration_s: float
-    # Whether the answer belongs to the request and is whole.
+    # Whether the answer is complete and belongs to the request.
     whole: bool
-    # Time after which to come back, if the answer says so.
+    # Time after which to retry in seconds, if the answer names one.
     retry_after_s: float | None = None
 
 
-class _Keys:
-    """Keys of tickets, opened when they run out."""
+class _KeyPool:
+    """Idempotency keys; a new ticket is opened when the keys run out."""
 
     def __init__(self, caller: SimulatedCaller) -> None:
         self._caller = caller
@@ -55,7 +55,7 @@
         self._lock = threading.Lock()
 
     def next(self) -> str | None:
-        """Return a fresh key, or None if no ticket could be had."""
+        """Return an unused key, or None if no entry opens a ticket."""
         with self._lock:
             if self._keys.empty():
                 for key in self._caller.open_ticket(_KEYS_PER_TICKET):
@@ -64,7 +64,7 @@
 
 
 class SimulatedCaller:
-    """Makes calls and keeps what came back."""
+    """Makes calls at a planned rate and records their outcomes."""
 
     def __init__(
         self,
@@ -77,30 +77,30 @@
         self._plan = plan
         self._sessions = [HttpSession(url, threads) for url in urls]
         self._threads = threads
-        self._turn = cycle(range(len(urls)))
+        self._session_indexes = cycle(range(len(urls)))
         self._budget_s = budget_s
         self._rng = random.Random(f"{plan.name}/{plan.operation}/{seed}")
         self._serial = count(1)
-        self._keys = _Keys(self)
+        self._keys = _KeyPool(self)
         self._lock = threading.Lock()
         self.records: list[CallRecord] = []
         self.stopped = threading.Event()
 
     @property
     def plan(self) -> CallerPlan:
-        """What this caller does."""
+        """Plan of this caller."""
         return self._plan
 
-    def _session(self) -> HttpSession:
+    def _next_session(self) -> HttpSession:
         with self._lock:
-            return self._sessions[next(self._turn)]
+            return self._sessions[next(self._session_indexes)]
 
     def open_ticket(self, key_count: int) -> list[str]:
-        """Open a ticket at any entry; empty if none answers."""
+        """Open a ticket at any entry; return its keys, empty if no entry answers."""
         body = json.dumps({"upstream": self._plan.upstream, "count": key_count})
         headers = {"Authorization": f"Bearer {token_of(self._plan.name)}"}
         for _try in self._sessions:
-            reply = self._session().request(
+            reply = self._next_session().request(
                 "POST", "/v1/tickets", 5.0, body.encode(), headers
             )
             if isinstance(reply, HttpReply) and reply.status == 200:
@@ -109,7 +109,7 @@
         return []
 
     def run(self, duration_s: float) -> None:
-        """Call at the planned rate until the time is over."""
+        """Make calls at the planned rate for ``duration_s`` or until stopped."""
         end_s = time.monotonic() + duration_s
         next_s = time.monotonic()
         with ThreadPoolExecutor(self._threads) as pool:
@@ -119,16 +119,16 @@
                 next_s += self._rng.expovariate(self._plan.rate_per_s)
 
     def call(self, number: int, planned_s: float) -> CallRecord:
-        """Make one call; a keyed one is tried again at the other entry."""
+        """Make one call; retry a call with a key once at the next entry."""
         key = self._keys.next() if self._plan.keyed else ""
         if key is None:
-            return self._note(number, planned_s, None)
+            return self._record_outcome(number, planned_s, None)
         reply = self._send(number, key)
         if isinstance(reply, Refusal) and self._plan.keyed:
             reply = self._send(number, key)
-        return self._note(number, planned_s, reply)
+        return self._record_outcome(number, planned_s, reply)
 
-    def _payload(self, number: int) -> dict[str, Any]:
+    def _build_payload(self, number: int) -> dict[str, Any]:
         name = f"{self._plan.name}-{self._plan.operation}-{number}"
         return {"id": name, "prompt": f"ruling {number % 40}", "max_tokens": 16}
 
@@ -140,12 +140,12 @@
         }
         if key:
             headers["Idempotency-Key"] = key
-        body = json.dumps(self._payload(number)).encode()
-        return self._session().request(
+        body = json.dumps(self._build_payload(number)).encode()
+        return self._next_session().request(
             "POST", path, self._budget_s + 2.0, body, headers
         )
 
-    def _note(
+    def _record_outcome(
         self, number: int, planned_s: float, reply: HttpReply | Refusal | None
     ) -> CallRecord:
         duration_s = time.monotonic() - planned_s
@@ -164,12 +164,12 @@
         elif isinstance(reply, Refusal):
             record = attrs.evolve(record, error="no-answer")
         else:
-            record = self._judge(record, reply)
+            record = self._classify_reply(record, reply)
         with self._lock:
             self.records.append(record)
         return record
 
-    def _judge(self, record: CallRecord, reply: HttpReply) -> CallRecord:
+    def _classify_reply(self, record: CallRecord, reply: HttpReply) -> CallRecord:
         fields = reply.json()
         if reply.status != 200:
             return attrs.evolve(
@@ -179,6 +179,6 @@
                 execution=reply.headers.get("execution", "unknown"),
                 retry_after_s=fields.get("retry_after_s"),
             )
-        expected = self._payload(record.number)
+        expected = self._build_payload(record.number)
         whole = fields.get("echo") == expected or "spans" in fields
         return attrs.evolve(record, status=200, execution="ran", whole=whole)
--- a/pistachioglade/load/_program.py
+++ b/pistachioglade/load/_program.py
@@ -1,4 +1,4 @@
-"""The load tool's program."""
+"""Command line of the load tool."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 from ._demo import run_demo
 from ._experiments import EXPERIMENTS
 from ._fault_run import run_faults
-from ._sweep_page import Sweep, plot_sweeps, read_sweep, render_sweeps, renew_sweeps
+from ._sweep_page import Sweep, plot_sweeps, read_sweep, render_sweeps, replace_tables
 
 
-def _end(number: int, _frame: object) -> None:
-    """Unwind on SIGTERM as on Ctrl-C, so that no started process is left."""
+def _exit_on_signal(number: int, _frame: object) -> None:
+    """Exit through an exception on SIGTERM, so that all started processes are ended."""
     sys.exit(128 + number)
 
 
 @click.group()
 def main() -> None:
     """Run the demo, loads and experiments."""
-    signal.signal(signal.SIGTERM, _end)
+    signal.signal(signal.SIGTERM, _exit_on_signal)
 
 
 @main.command("compare")
@@ -47,7 +47,7 @@
     call_factor: float,
     output: str,
 ) -> None:
-    """Run both policies on the same seeded work and compare the measures."""
+    """Run both policies on the same seeded workload and compare the measures."""
     work = Workload(steps, train_s, slow_factor, call_factor)
     measures = compare(deployment, [int(seed) for seed in seeds.split(",")], work)
     if output == "json":
@@ -59,7 +59,7 @@
 @main.command("experiment")
 @click.argument("name", type=click.Choice(sorted(EXPERIMENTS)))
 def _experiment(name: str) -> None:
-    """Measure the answer to one question."""
+    """Run one experiment and print its figures."""
     for what, figure in EXPERIMENTS[name]():
         click.echo(f"{what:44} {figure:10.4f}")
 
@@ -70,7 +70,7 @@
 @click.option("--plot", default="docs/capacity/sweeps.svg", help="Plot to write.")
 @click.option("--target", default=670, help="Machines to carry the growth on to.")
 def _sweep_page(entries: tuple[str, ...], page: str, plot: str, target: int) -> None:
-    """Renew the tables of docs/CAPACITY.md from journal entries of sweeps."""
+    """Update the tables of docs/CAPACITY.md from journal entries of sweeps."""
     read = [read_sweep(Path(entry)) for entry in entries]
     for refusal in (item for item in read if isinstance(item, Refusal)):
         raise click.ClickException(refusal.reason)
@@ -78,7 +78,7 @@
     path = Path(page)
     text = path.read_text(encoding="utf-8")
     tables = render_sweeps(sweeps, target)
-    path.write_text(renew_sweeps(text, tables), encoding="utf-8")
+    path.write_text(replace_tables(text, tables), encoding="utf-8")
     Path(plot).write_text(plot_sweeps(sweeps), encoding="utf-8")
 
 
@@ -95,8 +95,8 @@
     gap_s: float,
     folder: str | None,
 ) -> None:
-    """Run under seeded faults and check every promise against the records."""
-    broken = 0
+    """Run under seeded faults and check every guarantee against the records."""
+    failed_seeds = 0
     for seed in map(int, seeds.split(",")):
         result = run_faults(deployment, seed, duration_s, gap_s, folder)
         counts = ", ".join(f"{kind} {times}" for kind, times in result.faults.items())
@@ -106,8 +106,8 @@
         )
         for violation in result.violations[:40]:
             click.echo(f"  {violation}")
-        broken += bool(result.violations)
-    sys.exit(1 if broken else 0)
+        failed_seeds += bool(result.violations)
+    sys.exit(1 if failed_seeds else 0)
 
 
 @main.command("demo")
@@ -116,7 +116,7 @@
 @click.option("--seed", default=1, help="Seed of the work.")
 @click.option("--folder", default=None, help="Keep settings, logs and traces here.")
 def _demo(deployment: str, steps: int, seed: int, folder: str | None) -> None:
-    """Run a whole deployment on this machine and print the report."""
+    """Run a complete deployment on this machine and print the report."""
     try:
         sys.exit(run_demo(deployment, steps, seed, folder))
     except SettingsError as error:
--- a/pistachioglade/load/_relays.py
+++ b/pistachioglade/load/_relays.py
@@ -1,7 +1,7 @@
 """TCP relays in front of the nodes' link servers, to cut and to stall links.
 
-A cut relay closes what it carries and refuses more. A stalled one keeps its
-connections open and carries nothing: half-open, as after a lost route.
+A cut relay aborts its connections and closes new ones. A stalled relay keeps its
+connections open and forwards no data, like half-open connections after a lost route.
 """
 
 from __future__ import annotations
@@ -24,28 +24,28 @@
 
 
 class RelayState(Enum):
-    """What a relay does with what it gets."""
+    """Treatment of connections and data by a relay."""
 
     OPEN = "open"
     CUT = "cut"
     STALLED = "stalled"
 
 
-def _own_host() -> str:
+def _choose_host() -> str:
     """Return a loopback address that no other process is likely to use."""
-    numbers = [random.SystemRandom().randint(1, 254) for _place in range(3)]
+    numbers = [random.SystemRandom().randint(1, 254) for _position in range(3)]
     return ".".join(map(str, (127, *numbers)))
 
 
-_HOST: Final = _own_host()
+_HOST: Final = _choose_host()
 _PORTS: Final = count(20_000)
 
 
 def free_address() -> str:
-    """Return a free loopback address, each only once.
+    """Return a free loopback address; no address is returned twice.
 
-    The host is this process's own: a port that is merely free may be taken by
-    somebody else's outgoing connection before it is listened at.
+    Each process uses a loopback host of its own. On a shared host, an outgoing
+    connection of another process could take a free port before the caller listens.
     """
     for port in _PORTS:
         with socket.socket() as probe:
@@ -59,18 +59,18 @@
 
 @attrs.define(eq=False)
 class _Relay:
-    # Host and port that it forwards to.
+    # Host and port that the relay forwards to.
     target: str
-    # What it does now.
+    # Current treatment of connections and data.
     state: RelayState = RelayState.OPEN
-    # Set while it is open.
+    # Set unless the relay is stalled; data waits for the event.
     is_open: asyncio.Event = attrs.field(factory=asyncio.Event)
-    # The two ends of each connection.
+    # Writers to both ends of each connection.
     writers: set[asyncio.StreamWriter] = attrs.field(factory=set)
 
 
 class Relays:
-    """Relays by node, on an event loop in a thread of its own."""
+    """Relays by node, on an event loop in a separate thread."""
 
     def __init__(self) -> None:
         self._loop = asyncio.new_event_loop()
@@ -78,25 +78,27 @@
         self._thread.start()
         self._relays: dict[str, _Relay] = {}
 
-    def _call(self, work: Coroutine[Any, Any, T]) -> T:
+    def _run_on_loop(self, work: Coroutine[Any, Any, T]) -> T:
         future = asyncio.run_coroutine_threadsafe(work, self._loop)
         return future.result(_CALL_TIMEOUT_S)
 
     def add(self, node: str, target: str) -> str:
         """Start a relay to ``target``; return the address to reach it at."""
-        return self._call(self._add(node, target))
+        return self._run_on_loop(self._add(node, target))
 
     async def _add(self, node: str, target: str) -> str:
         relay = _Relay(target)
         relay.is_open.set()
         self._relays[node] = relay
         server = await asyncio.start_server(
-            lambda reader, writer: self._carry(relay, reader, writer), "127.0.0.1", 0
+            lambda reader, writer: self._forward_connection(relay, reader, writer),
+            "127.0.0.1",
+            0,
         )
         port = server.sockets[0].getsockname()[1]
         return f"127.0.0.1:{port}"
 
-    async def _carry(
+    async def _forward_connection(
         self,
         relay: _Relay,
         reader: asyncio.StreamReader,
@@ -107,18 +109,20 @@
             return
         host, _, port = relay.target.rpartition(":")
         try:
-            far_reader, far_writer = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(
+                host, int(port)
+            )
         except OSError:
             writer.close()
             return
-        relay.writers |= {writer, far_writer}
+        relay.writers |= {writer, target_writer}
         await asyncio.gather(
-            self._pump(relay, reader, far_writer),
-            self._pump(relay, far_reader, writer),
+            self._forward_data(relay, reader, target_writer),
+            self._forward_data(relay, target_reader, writer),
         )
-        relay.writers -= {writer, far_writer}
+        relay.writers -= {writer, target_writer}
 
-    async def _pump(
+    async def _forward_data(
         self,
         relay: _Relay,
         reader: asyncio.StreamReader,
@@ -136,7 +140,7 @@
 
     def set_state(self, node: str, state: RelayState) -> None:
         """Open, cut or stall the links to a node."""
-        self._call(self._set_state(self._relays[node], state))
+        self._run_on_loop(self._set_state(self._relays[node], state))
 
     async def _set_state(self, relay: _Relay, state: RelayState) -> None:
         relay.state = state
@@ -156,7 +160,7 @@
         await asyncio.gather(*others, return_exceptions=True)
 
     def close(self) -> None:
-        """End every relay."""
-        self._call(self._cancel_all())
+        """Stop every relay and the event loop."""
+        self._run_on_loop(self._cancel_all())
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join(_CALL_TIMEOUT_S)
--- a/pistachioglade/load/_sweep_page.py
+++ b/pistachioglade/load/_sweep_page.py
@@ -1,8 +1,8 @@
 """Tables of docs/CAPACITY.md from journal entries of a sweep over fleet sizes.
 
-Each entry holds the printed table of one sweep: for each role and measure the middle
-and the busiest process at each number of machines. A measure's power is the exponent
-with which its busiest process grows with the machines.
+Each entry holds the printed table of one sweep: for each role and measure, the values
+of the middle and the busiest process at each number of machines. The power of a
+measure is the exponent of the busiest process's growth with the number of machines.
 """
 
 from __future__ import annotations
@@ -27,8 +27,8 @@
 _DAY: Final = re.compile(
     r"^(sweep-\d+)\s+(\d+)/\d+\s+\S+\s+(-?[\d.]+)\s+([\d.]+)", re.MULTILINE
 )
-#: Least value whose logarithm is taken; below it a measure counts as none.
-_LEAST: Final = 1e-6
+#: Values up to this bound count as zero and have no logarithm.
+_ZERO_BOUND: Final = 1e-6
 
 
 @attrs.frozen
@@ -37,16 +37,16 @@
 
     # Role and measure, with its unit.
     name: str
-    # Busiest process by number of machines.
+    # Value of the busiest process, by number of machines.
     busiest: Mapping[int, float]
 
     @property
     def power(self) -> float:
-        """Exponent of its growth with the machines, by least squares of logarithms."""
+        """Exponent of the growth with the machines, by least squares of logarithms."""
         points = [
             (log(size), log(value))
             for size, value in self.busiest.items()
-            if value > _LEAST
+            if value > _ZERO_BOUND
         ]
         if len(points) < 2:
             return 0.0
@@ -56,29 +56,29 @@
         return sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
 
     def at(self, machines: int) -> float:
-        """Return the value that the growth gives at another number of machines."""
+        """Return the extrapolated value at another number of machines."""
         size = max(self.busiest)
         return self.busiest[size] * exp(self.power * log(machines / size))
 
 
 @attrs.frozen
 class Sweep:
-    """One sweep of a deployment."""
+    """Scores and measures of one sweep of a deployment over fleet sizes."""
 
-    # Id of its journal entry.
+    # Id of the sweep's journal entry.
     id: str
-    # Deployment.
+    # Name of the deployment.
     site: str
-    # Whether the sources were those of a commit, and which.
+    # Abbreviated commit of the sources, with " and changes" for a dirty work tree.
     commit: str
-    # Worth and part of the credit served, by number of machines.
+    # Worth and served fraction of the credit, by number of machines.
     days: Mapping[int, tuple[float, float]]
     # Measures in the order of the table.
     rows: tuple[SweepRow, ...]
 
 
 def read_sweep(path: Path) -> Sweep | Refusal:
-    """Return the sweep in a journal entry, or why there is none."""
+    """Return the sweep in a journal entry, or a refusal with the reason."""
     try:
         fields = json.loads(path.read_text(encoding="utf-8"))
         text = str(fields["digest"])
@@ -95,11 +95,11 @@
         size: (float(match.group(3)), float(match.group(4)))
         for size, match in zip(machines, _DAY.finditer(text), strict=False)
     }
-    rows = tuple(_rows(text[sizes.end() :], machines))
+    rows = tuple(_parse_rows(text[sizes.end() :], machines))
     return Sweep(entry_id, site, commit, days, rows)
 
 
-def _rows(text: str, machines: Sequence[int]) -> Iterator[SweepRow]:
+def _parse_rows(text: str, machines: Sequence[int]) -> Iterator[SweepRow]:
     cells = r"\s+".join([_CELL] * len(machines))
     pattern = re.compile(rf"^(\S.*?)\s{{2,}}{cells}", re.MULTILINE)
     for match in pattern.finditer(text):
@@ -108,9 +108,9 @@
 
 
 def render_sweeps(sweeps: Iterable[Sweep], target: int) -> str:
-    """Return the tables of several sweeps, each deployment with the spread of its runs.
+    """Return a table for each deployment, with the values of all its runs.
 
-    ``target`` is the number of machines that the growth is carried on to.
+    ``target`` is the number of machines to which the growth is extrapolated.
     """
     ordered = sorted(sweeps, key=lambda item: item.site)
     return "\n".join(
@@ -130,25 +130,25 @@
         "",
         f"| machines | {heads} | power | at {target} |",
         "| --- |" + " --- |" * (len(machines) + 2),
-        _day_line("worth", machines, runs, 0),
-        _day_line("served, of the credit", machines, runs, 1),
+        _render_day("worth", machines, runs, 0),
+        _render_day("served, of the credit", machines, runs, 1),
     ]
     names = [row.name for row in runs[0].rows]
-    lines += [_row_line(name, machines, runs, target) for name in names]
+    lines += [_render_row(name, machines, runs, target) for name in names]
     return "\n".join([*lines, ""])
 
 
-def _day_line(
-    name: str, machines: Sequence[int], runs: Sequence[Sweep], place: int
+def _render_day(
+    name: str, machines: Sequence[int], runs: Sequence[Sweep], column: int
 ) -> str:
     cells = (
-        ", ".join(f"{run.days[size][place]:.3f}" for run in runs if size in run.days)
+        ", ".join(f"{run.days[size][column]:.3f}" for run in runs if size in run.days)
         for size in machines
     )
     return f"| {name} | {' | '.join(cells)} | | |"
 
 
-def _row_line(
+def _render_row(
     name: str, machines: Sequence[int], runs: Sequence[Sweep], target: int
 ) -> str:
     rows = [row for run in runs for row in run.rows if row.name == name]
@@ -158,15 +158,15 @@
     return f"| {name} | {' | '.join(cells)} | {powers} | {ahead} |"
 
 
-def renew_sweeps(page: str, tables: str) -> str:
-    """Return the page with its tables of sweeps replaced."""
+def replace_tables(page: str, tables: str) -> str:
+    """Return the page with the tables between the markers replaced."""
     head, _, rest = page.partition(BEGIN)
     _, _, tail = rest.partition(END)
     return f"{head}{BEGIN}\n\n{tables}\n{END}{tail}"
 
 
 def plot_sweeps(sweeps: Sequence[Sweep]) -> str:
-    """Return an SVG of how each measure of the busiest process grows."""
+    """Return an SVG plot of the growth of each measure's busiest process."""
     machines = sorted({size for run in sweeps for size in run.days})
     chart = pygal.Line(
         logarithmic=True, x_title="machines", title="Busiest process, at 1 with fewest"
@@ -175,7 +175,7 @@
     for run in sweeps:
         for row in run.rows:
             first = row.busiest.get(machines[0], 0.0)
-            if first > _LEAST:
+            if first > _ZERO_BOUND:
                 values = [row.busiest.get(size, 0.0) / first for size in machines]
                 chart.add(f"{run.site}: {row.name}", values)
     return str(chart.render(is_unicode=True))
--- a/pistachioglade/load/_trainers.py
+++ b/pistachioglade/load/_trainers.py
@@ -1,4 +1,4 @@
-"""A simulated trainer: publishes, opens the next step, trains on this one."""
+"""Simulated trainer, which opens the next step before it trains on the current one."""
 
 from __future__ import annotations
 
@@ -24,37 +24,37 @@
 from ._deployment import TrainerPlan
 
 _STORE_TIMEOUT_S = 30.0
-#: Samples between two checkpoints.
-_SAVE_EVERY = 20
+#: Number of samples between two checkpoints.
+_SAMPLES_PER_CHECKPOINT = 20
 _SETTLE_BOUND_S = 30.0
 
 
 @attrs.define
 class TrainerLog:
-    """What one trainer saw."""
+    """Samples, times and failures that one trainer observed."""
 
-    # Copies that were taken: step, index, copy id, versions.
+    # Taken samples: step, sample, newest version at that time.
     taken: list[tuple[int, Sample, int]] = attrs.field(factory=list)
-    # Time that the trainer waited for samples.
+    # Time spent waiting for samples, in seconds.
     idle_s: float = 0.0
-    # Time from the first step to the last.
+    # Duration of the complete run, in seconds.
     run_s: float = 0.0
-    # Time from opening to the last sample, by step.
+    # Time from the opening to the last sample of each step, in seconds.
     step_s: list[float] = attrs.field(factory=list)
-    # Time from nine tenths of a step's samples to the last, by step.
+    # Time from the sample at 90% of each step to the last sample, in seconds.
     tail_s: list[float] = attrs.field(factory=list)
-    # Staleness at receipt, in versions.
+    # Staleness of each sample at receipt, in versions.
     staleness: list[int] = attrs.field(factory=list)
-    # Samples that came twice and were thrown away.
+    # Number of discarded duplicates.
     duplicates: int = 0
-    # Samples that came too old and were thrown away.
+    # Number of discarded samples over the staleness bound.
     too_stale: int = 0
-    # What went wrong.
+    # Errors that ended the run.
     failures: list[str] = attrs.field(factory=list)
 
 
 class SimulatedTrainer:
-    """Runs a number of steps, with the next one open while it trains."""
+    """Runs steps against the service, with the next step open during training."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
             wait_s=2.0,
         )
         self.client = TrainerClient(self._settings)
-        self._saved: tuple[str, TrainerLog] = ("", TrainerLog())
+        self._checkpoint: tuple[str, TrainerLog] = ("", TrainerLog())
         self.killed = threading.Event()
         self.log = TrainerLog()
         self.digests: dict[int, str] = {}
@@ -97,7 +97,7 @@
         )
 
     def publish(self, version: int) -> None:
-        """Put made-up weights into the store and announce them."""
+        """Store random weights and publish their version."""
         weights = self._rng.randbytes(self._weights_bytes)
         path = f"/weights/{self._model}/{version}"
         reply = self._store.request("PUT", path, _STORE_TIMEOUT_S, weights)
@@ -109,7 +109,7 @@
         self.client.publish(version, digest, len(weights))
 
     def run(self, steps: int) -> None:
-        """Run whole steps; failures go into the log."""
+        """Run steps to completion; record failures in the log."""
         try:
             self._run(steps)
         except ServiceError as error:
@@ -119,38 +119,38 @@
 
     def _save(self) -> None:
         """Save the client's checkpoint together with the trainer's own state."""
-        own = attrs.evolve(
+        saved_log = attrs.evolve(
             self.log, taken=list(self.log.taken), staleness=list(self.log.staleness)
         )
-        self._saved = (self.client.checkpoint().to_json(), own)
+        self._checkpoint = (self.client.checkpoint().to_json(), saved_log)
 
     def _restore(self) -> None:
-        """Go back to what was saved, as after a kill of the trainer."""
-        text, own = self._saved
+        """Restore the saved state, as after a kill of the trainer."""
+        text, saved_log = self._checkpoint
         self.log = attrs.evolve(
-            own, taken=list(own.taken), staleness=list(own.staleness)
+            saved_log, taken=list(saved_log.taken), staleness=list(saved_log.staleness)
         )
         self.restore_client(TrainerCheckpoint.from_json(text))
         self.killed.clear()
 
     def restore_client(self, checkpoint: TrainerCheckpoint) -> None:
-        """Replace the client by one that goes on from a checkpoint."""
+        """Replace the client by a client that resumes from a checkpoint."""
         self.client.close()
         self.client = TrainerClient(self._settings, checkpoint)
 
-    def _open(self, step: int) -> OpenedStep:
+    def _open_step(self, step: int) -> OpenedStep:
         return self.client.open_step(step, self.groups(step), self._plan.max_tokens)
 
     def _run(self, steps: int) -> None:
         started_s = time.monotonic()
         self.publish(1)
-        following = self._open(1)
+        next_step = self._open_step(1)
         opened_s = time.monotonic()
         for step in range(1, steps + 1):
-            current, current_opened_s = following, opened_s
-            current = self._collect(step, current, current_opened_s)
+            current, current_opened_s = next_step, opened_s
+            current = self._take_samples(step, current, current_opened_s)
             if step < steps:
-                following = self._open(step + 1)
+                next_step = self._open_step(step + 1)
                 opened_s = time.monotonic()
             current.close()
             if self.stopped.wait(self._plan.train_s):
@@ -159,21 +159,23 @@
         self.client.settle(_SETTLE_BOUND_S)
         self.log.run_s = time.monotonic() - started_s
 
-    def _collect(self, step: int, opened: OpenedStep, opened_s: float) -> OpenedStep:
-        """Take a whole step; return it as it is open at the end."""
+    def _take_samples(
+        self, step: int, opened: OpenedStep, opened_s: float
+    ) -> OpenedStep:
+        """Take all samples of a step; return the step, reopened after a restore."""
         self._save()
         waited_from_s = time.monotonic()
         arrivals: list[float] = []
         while (sample := opened.take()) is not None:
             if self.killed.is_set():
                 self._restore()
-                opened = self._open(step)
+                opened = self._open_step(step)
                 continue
             newest = self.client.newest_version
             arrivals.append(time.monotonic())
             self.log.taken.append((step, sample, newest))
             self.log.staleness.append(newest - sample.oldest_version)
-            if len(arrivals) % _SAVE_EVERY == 0:
+            if len(arrivals) % _SAMPLES_PER_CHECKPOINT == 0:
                 self._save()
         self.log.idle_s += time.monotonic() - waited_from_s
         self.log.step_s.append(arrivals[-1] - opened_s)
--- a/pistachioglade/load/tests/test_relays.py
+++ b/pistachioglade/load/tests/test_relays.py
@@ -1,4 +1,4 @@
-"""Addresses that a cluster is started on."""
+"""Loopback addresses for the processes of a cluster."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from .. import free_address
 
 
-def test_no_address_is_given_twice_nor_lies_where_connections_go_out() -> None:
+def test_free_addresses_are_unique_and_off_the_host_of_outgoing_connections() -> None:
     addresses = [free_address() for _turn in range(200)]
     assert len(set(addresses)) == len(addresses)
     with (
--- a/pistachioglade/load/tests/test_sweep_page.py
+++ b/pistachioglade/load/tests/test_sweep_page.py
@@ -1,4 +1,4 @@
-"""Tables of the capacity page from journal entries."""
+"""Tables of the capacity page, rendered from journal entries of sweeps."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     plot_sweeps,
     read_sweep,
     render_sweeps,
-    renew_sweeps,
+    replace_tables,
 )
 
 _DIGEST = """day          own/srv  score  worth served refused failed  weakest part
@@ -38,7 +38,7 @@
     return path
 
 
-def test_an_entry_gives_its_table(tmp_path: Path) -> None:
+def test_sweep_entry_is_rendered_as_table(tmp_path: Path) -> None:
     sweep = read_sweep(_entry(tmp_path))
     assert isinstance(sweep, Sweep)
     assert sweep.days == {30: (0.063, 0.217), 300: (0.913, 1.0)}
@@ -46,7 +46,7 @@
     assert rows["engine: processor %"].busiest == {30: 1.1, 300: 1.3}
     assert rows["entry: connections"].power == pytest.approx(1.0)
     assert rows["entry: connections"].at(600) == pytest.approx(2000.0)
-    page = renew_sweeps(f"a\n{BEGIN}\nold\n{END}\nb", render_sweeps([sweep], 670))
+    page = replace_tables(f"a\n{BEGIN}\nold\n{END}\nb", render_sweeps([sweep], 670))
     assert "old" not in page
     assert page.startswith("a\n") and page.endswith("\nb")
     assert "| entry: connections | 100 | 1000 | 1.00 | 2.23e+03 |" in page
@@ -56,9 +56,11 @@
 @pytest.mark.parametrize(
     "more", [{"cmd": "score"}, {"digest": "nothing"}, {"digest": 3}, {"head": None}]
 )
-def test_other_entries_are_refused(tmp_path: Path, more: dict[str, object]) -> None:
+def test_entry_without_sweep_is_refused(
+    tmp_path: Path, more: dict[str, object]
+) -> None:
     assert isinstance(read_sweep(_entry(tmp_path, **more)), Refusal)
 
 
-def test_a_file_that_is_missing_is_refused(tmp_path: Path) -> None:
+def test_missing_file_is_refused(tmp_path: Path) -> None:
     assert isinstance(read_sweep(tmp_path / "none.json"), Refusal)
