--- a/pistachioglade/ctl/_program.py
+++ b/pistachioglade/ctl/_program.py
@@ -185,7 +185,7 @@
 def _apply(
     context: _Context, path: str, wait_s: float, base_generation: int | None
 ) -> None:
-    """Put a file in force, whole or not at all; safe to repeat."""
+    """Apply a file atomically; safe to repeat."""
     text = _read_valid_file(path)
     client = context.client()
     applied = _apply_with_retries(client, text, base_generation, wait_s)
@@ -272,7 +272,7 @@
 @click.pass_obj
 @_exit_on_error
 def _drain(context: _Context, node: str) -> None:
-    """Tell a node to leave: no new work, finish what runs, then end."""
+    """Drain a node: accept no new work, finish running work, then exit."""
     fields = context.client().call("POST", f"drain/{node}")
     context.show(fields, f"{node} is leaving")
 
@@ -301,7 +301,7 @@
     form: str | None,
     paths: tuple[str, ...],
 ) -> None:
-    """Report who got what, from which versions, how late, what was refused."""
+    """Report samples, versions, lateness and refusals by trainer and caller."""
     if paths:
         report = _report_from_logs(paths, since_unix_s, until_unix_s)
     else:
--- a/pistachioglade/load/_checks.py
+++ b/pistachioglade/load/_checks.py
@@ -14,7 +14,7 @@
 from ._lookups import CallRecord
 from ._trainers import TrainerLog
 
-#: Runs of one instance, as it recorded them.
+#: Runs of one instance, as recorded by the instance.
 Runs = Sequence[Mapping[str, Any]]
 
 
--- a/pistachioglade/report/_from_logs.py
+++ b/pistachioglade/report/_from_logs.py
@@ -86,7 +86,7 @@
 
 
 def line_unix_s(line: LogLine) -> float:
-    """Return the time of a line, in seconds since the epoch; 0 if it has none."""
+    """Return the time of a line, in seconds since the epoch; 0 without a time."""
     try:
         return datetime.fromisoformat(str(line["timestamp"])).timestamp()
     except (KeyError, ValueError):
--- a/pistachioglade/report/_losses.py
+++ b/pistachioglade/report/_losses.py
@@ -120,7 +120,7 @@
     accepted_s: float
     due_s: float = float("inf")
     begun_s: list[float] = attrs.field(factory=list)
-    tries: dict[str, list[_Attempt]] = attrs.field(factory=lambda: defaultdict(list))
+    attempts: dict[str, list[_Attempt]] = attrs.field(factory=lambda: defaultdict(list))
     listed_s: dict[str, float] = attrs.field(factory=dict)
     ended_s: float | None = None
 
@@ -128,19 +128,19 @@
 def losses_from_logs(lines: Iterable[LogLine]) -> Losses:
     """Return the losses in the lines of all processes, which come sorted by time."""
     jobs: dict[str, _Job] = {}
-    tries: dict[str, list[LogLine]] = defaultdict(list)
+    attempts: dict[str, list[LogLine]] = defaultdict(list)
     for line in lines:
         if line["event"] == "job-accepted":
             jobs.setdefault(str(line["job"]), _Job(line, line_unix_s(line)))
         elif line["event"] == "call-tried":
-            tries[str(line["request"])].append(line)
+            attempts[str(line["request"])].append(line)
         elif str(line.get("job", "")) in jobs:
             _process_line(jobs[str(line["job"])], line)
     pace_s = _usual_pace_s(jobs.values())
     steps = (_build_step_loss(job_id, job, pace_s) for job_id, job in jobs.items())
     return Losses(
         tuple(step for step in steps if step is not None),
-        tuple(_build_call_losses(tries.values())),
+        tuple(_build_call_losses(attempts.values())),
     )
 
 
@@ -153,7 +153,7 @@
                 job.due_s = time_s + float(line["due_in_s"]) - job.accepted_s
         case "item-tried":
             resumed = line["resumed_after"]
-            job.tries[str(line["item"])].append(
+            job.attempts[str(line["item"])].append(
                 _Attempt(
                     time_s - float(line["took_s"]),
                     time_s,
@@ -171,11 +171,12 @@
 
 def _usual_pace_s(jobs: Iterable[_Job]) -> float:
     paces = [
-        (tried.end_s - tried.start_s) / tried.generated_events
+        (attempt.end_s - attempt.start_s) / attempt.generated_events
         for job in jobs
-        for tries in job.tries.values()
-        for tried in tries
-        if tried.outcome == "complete" and tried.generated_events >= _MIN_PACE_EVENTS
+        for attempts in job.attempts.values()
+        for attempt in attempts
+        if attempt.outcome == "complete"
+        and attempt.generated_events >= _MIN_PACE_EVENTS
     ]
     return median(paces) if paces else 0.0
 
@@ -187,9 +188,9 @@
     read = {item: at_s for item, at_s in job.listed_s.items() if at_s <= job.ended_s}
     if not read:
         return None
-    item = max(read, key=lambda item: (read[item], _completed_s(job.tries[item])))
+    item = max(read, key=lambda item: (read[item], _completed_s(job.attempts[item])))
     parts_s: dict[LossCause, float] = defaultdict(float)
-    for cause, time_s in _attribute_time(job, job.tries[item], read[item], pace_s):
+    for cause, time_s in _attribute_time(job, job.attempts[item], read[item], pace_s):
         parts_s[cause] += time_s
     return StepLoss(
         str(job.line["model"]),
@@ -202,40 +203,40 @@
     )
 
 
-def _completed_s(tries: list[_Attempt]) -> float:
-    return tries[-1].end_s if tries else 0.0
+def _completed_s(attempts: list[_Attempt]) -> float:
+    return attempts[-1].end_s if attempts else 0.0
 
 
 def _attribute_time(
-    job: _Job, tries: list[_Attempt], listed_s: float, pace_s: float
+    job: _Job, attempts: list[_Attempt], listed_s: float, pace_s: float
 ) -> Iterator[tuple[LossCause, float]]:
     """Yield each part of a sample's time with its cause."""
     before = _Attempt(job.accepted_s, job.accepted_s, "", 0, 0)
-    for previous, tried in pairwise((before, *tries)):
-        yield from _attribute_gap(job, previous, tried, pace_s)
-        usual_s = tried.generated_events * pace_s
-        slow_s = tried.end_s - tried.start_s - usual_s
+    for previous, attempt in pairwise((before, *attempts)):
+        yield from _attribute_gap(job, previous, attempt, pace_s)
+        usual_s = attempt.generated_events * pace_s
+        slow_s = attempt.end_s - attempt.start_s - usual_s
         yield LossCause.LENGTH, usual_s + (slow_s if slow_s < _MIN_SLOW_S else 0.0)
         yield LossCause.SLOW, slow_s if slow_s >= _MIN_SLOW_S else 0.0
-    completed_s = tries[-1].end_s if tries else job.accepted_s
+    completed_s = attempts[-1].end_s if attempts else job.accepted_s
     yield LossCause.LISTING, listed_s - completed_s
     assert job.ended_s is not None
     yield LossCause.READING, job.ended_s - listed_s
 
 
 def _attribute_gap(
-    job: _Job, previous: _Attempt, tried: _Attempt, pace_s: float
+    job: _Job, previous: _Attempt, attempt: _Attempt, pace_s: float
 ) -> Iterator[tuple[LossCause, float]]:
     """Yield each part of the time between two attempts with its cause."""
-    gap_s = tried.start_s - previous.end_s
-    repeated_events = previous.events - tried.resumed
+    gap_s = attempt.start_s - previous.end_s
+    repeated_events = previous.events - attempt.resumed
     if repeated_events > 0:
         # The time of the earlier attempt already includes these events, which the later
         # attempt generates again.
         yield LossCause.AGAIN, repeated_events * pace_s
         yield LossCause.LENGTH, -repeated_events * pace_s
     is_failed_over = any(
-        previous.end_s < at_s <= tried.start_s for at_s in job.begun_s[1:]
+        previous.end_s < at_s <= attempt.start_s for at_s in job.begun_s[1:]
     )
     if is_failed_over:
         unlogged_s = max(0, -repeated_events) * pace_s
@@ -249,10 +250,10 @@
 
 def _build_call_losses(requests: Iterable[list[LogLine]]) -> Iterator[CallLoss]:
     failures: dict[tuple[str, str], list[tuple[bool, float]]] = defaultdict(list)
-    for tries in requests:
-        outcome = tries[-1]["outcome"]
+    for attempts in requests:
+        outcome = attempts[-1]["outcome"]
         is_answered = isinstance(outcome, int) and outcome < 500
-        for line in tries:
+        for line in attempts:
             if isinstance(line["outcome"], int) and line["outcome"] < 500:
                 continue
             reason = str(line["reason"] or f"answered {line['outcome']}")
