--- a/conftest.py
+++ b/conftest.py
@@ -1,11 +1,11 @@
-"""Settings of all tests; known red tests run, and are passed over and printed."""
+"""Settings of all tests; known failing tests run, are tolerated and are printed."""
 
 from pathlib import Path
 
 import pytest
 from hypothesis import settings
 
-# An example's time depends on the machine's load and says nothing of the property.
+# The run time of an example depends on the machine's load, not on the property.
 settings.register_profile("no-deadline", deadline=None)
 settings.load_profile("no-deadline")
 
@@ -13,7 +13,7 @@
 
 
 def _known_red() -> dict[str, str]:
-    """Return what is known of each known red test, by its id."""
+    """Return the description of each known failing test, by test id."""
     if not _KNOWN_RED.exists():
         return {}
     lines = [line for line in _KNOWN_RED.read_text().splitlines() if line.strip()]
@@ -22,7 +22,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Let known red tests fail without failing the run."""
+    """Mark known failing tests so that their failures don't fail the run."""
     known = _known_red()
     for item in items:
         if item.nodeid in known:
@@ -30,6 +30,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print the known red tests, whatever came of them."""
+    """Print the known failing tests, whether they passed or failed."""
     for test, known in _known_red().items():
         terminalreporter.write_line(f"known red: {test} | {known}")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The small deployment that the scenarios run on."""
+"""A small deployment for the scenarios and its configuration documents."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 def config_text(hedge: int = 5) -> str:
-    """Return the declarative file of the small deployment."""
+    """Return the configuration document of the small deployment."""
     hashes = {name: _sha256(name) for name in ("alpha", "beta", "clerk")}
     return _CONFIG.format(hedge=hedge, **hashes)
 
@@ -77,7 +77,7 @@
 
 @pytest.fixture
 def make_trainers() -> Callable[[Cluster], dict[str, SimulatedTrainer]]:
-    """Return a maker of the deployment's trainers."""
+    """Return a function that creates the deployment's trainers for a cluster."""
 
     def make(cluster: Cluster) -> dict[str, SimulatedTrainer]:
         config, faults = check_document(CONFIGS["base"])
@@ -99,6 +99,6 @@
 
 @pytest.fixture
 def cluster(tmp_path: Path) -> Iterator[Cluster]:
-    """Give out the small deployment, running."""
+    """Start the small deployment and stop it after the test."""
     with start_cluster(tmp_path, DEPLOYMENT) as running:
         yield running
--- a/tests/scenario/__init__.py
+++ b/tests/scenario/__init__.py
@@ -1,4 +1,4 @@
-"""A small language for failure scenarios, and the session that runs it."""
+"""A language for failure scenarios, and the session that runs its statements."""
 
 from ._grammar import Statement, parse_scenario
 from ._session import Session
--- a/tests/scenario/_checking.py
+++ b/tests/scenario/_checking.py
@@ -1,4 +1,4 @@
-"""What a scenario waits for and checks."""
+"""The states that a scenario can wait for and the checks that it can make."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from pistachioglade.load import OPERATOR_TOKEN, Cluster, TrainerOutcome, checks
 from pistachioglade.trainer import TrainerClient
 
-_GRACE_S = 5.0
+_LEAVING_GRACE_S = 5.0
 
 
-class Checking:
-    """The half of a session that looks on."""
+class SessionChecks:
+    """Base of a session: waits for states and checks results and records of runs."""
 
     cluster: Cluster
     _config: ServiceConfig
@@ -29,11 +29,13 @@
         return client
 
     def _do_until(self, *words: str) -> str:
-        question = " ".join(words)
-        self.cluster.wait(question, lambda: self._holds([str(w) for w in words]))
+        condition = " ".join(words)
+        self.cluster.wait(
+            condition, lambda: self._is_satisfied([str(w) for w in words])
+        )
         return "so"
 
-    def _holds(self, words: list[str]) -> bool:
+    def _is_satisfied(self, words: list[str]) -> bool:
         match words:
             case ["engines", "hold", model]:
                 return self._engines_hold(model)
@@ -101,14 +103,16 @@
                     yield "the trainer threw no sample away"
             case ["whole", "answers"]:
                 answers = [item for item in self._results if item.status == 200]
-                yield from (item.name for item in answers if not item.whole)
+                yield from (item.name for item in answers if not item.is_complete)
             case ["not", "run"]:
                 yield from self._not_run_violations(services)
             case ["at", "most", "once"]:
                 yield from checks.check_at_most_once(services, ["billed"])
             case ["leaving"]:
                 runs = {**self.cluster.runs("app"), **self.cluster.runs("lm")}
-                yield from checks.check_leaving(self._left_unix_s, runs, _GRACE_S)
+                yield from checks.check_leaving(
+                    self._left_unix_s, runs, _LEAVING_GRACE_S
+                )
             case ["one", "winner"]:
                 if len(set(self._generations)) != len(self._generations):
                     yield f"generations {self._generations}"
@@ -119,9 +123,11 @@
 
     def _not_run_violations(self, services: list[Any]) -> Iterator[str]:
         ran = {run["payload"].get("id") for runs in services for run in runs}
-        told = {item.name for item in self._results if item.execution == "not-run"}
+        refused = {item.name for item in self._results if item.execution == "not-run"}
         answered = {item.name for item in self._results if item.status == 200}
-        yield from (f"{name} was refused and ran" for name in (told & ran) - answered)
+        yield from (
+            f"{name} was refused and ran" for name in (refused & ran) - answered
+        )
 
     def _section_violations(self, section: str, word: str) -> Iterator[str]:
         for entry in self.cluster.names("entry-"):
--- a/tests/scenario/_grammar.py
+++ b/tests/scenario/_grammar.py
@@ -57,21 +57,21 @@
 
 @attrs.frozen
 class Statement:
-    """One statement: its verb and what it is about."""
+    """One statement of a scenario: a verb and its arguments."""
 
-    # Name of the grammar's alternative.
+    # Name of the grammar's alternative, which is the verb.
     verb: str
-    # Words, numbers, targets, or the statement that is started.
+    # Words, numbers, targets, or the statement that a ``start`` runs.
     arguments: tuple[Any, ...]
 
 
 @attrs.frozen
 class Target:
-    """A process, by its name or by what it does now."""
+    """A process, given by its name or by its present role."""
 
-    # "name", "owner" or "holder".
+    # Kind of reference: "name", "owner" or "holder".
     kind: str
-    # Process, trainer or caller.
+    # Name of the process, of the owner's trainer or of the ticket holder's caller.
     name: str
 
 
@@ -81,7 +81,7 @@
 
     # Name of the clause.
     name: str
-    # Its value.
+    # Value of the clause, as text.
     value: str
 
 
--- a/tests/scenario/_session.py
+++ b/tests/scenario/_session.py
@@ -1,4 +1,4 @@
-"""Runs a scenario's statements against a real cluster and keeps a transcript."""
+"""Runs the statements of a scenario on a real cluster and returns a transcript."""
 
 from __future__ import annotations
 
@@ -23,49 +23,49 @@
 from pistachioglade.messages import Group
 from pistachioglade.trainer import OpenedStep, TrainerCheckpoint
 
-from ._checking import Checking
+from ._checking import SessionChecks
 from ._grammar import Option, Statement, Target
 
-_BOUND_S = 60.0
-_TAKE_BOUND_S = 100.0
+_TIMEOUT_S = 60.0
+_TAKE_TIMEOUT_S = 100.0
 
 
 @attrs.define
 class _Result:
-    """What a caller was told."""
+    """The answer to one call of a caller."""
 
-    # Name of the payload.
+    # Id of the payload.
     name: str
-    # HTTP status; 0 for no answer.
+    # HTTP status; 0 if no answer came.
     status: int
-    # Error kind, or "".
+    # Error kind; empty without an error.
     error: str
-    # Execution header.
+    # Value of the execution header.
     execution: str
-    # Whether the answer echoes the request.
-    whole: bool
-    # Whether the answer was kept from an earlier try.
-    replayed: bool
-    # Whether the answer names a time to come back.
-    names_return: bool
+    # Whether the answer is complete: it echoes the request or has version spans.
+    is_complete: bool
+    # Whether the answer is a replay of an earlier attempt's answer.
+    is_replayed: bool
+    # Whether the answer has a retry-after time.
+    has_retry_after: bool
 
 
 @attrs.define
 class _TrainerState:
-    # The simulated trainer, for its publishing and its log.
+    # Simulated trainer: publishes versions and logs the samples that it took.
     simulated: SimulatedTrainer
-    # Samples of each step.
+    # Number of samples in each step.
     step_samples: int = 0
-    # Open steps.
+    # Opened steps by step number.
     steps: dict[int, OpenedStep] = attrs.field(factory=dict)
-    # Groups of each step.
+    # Groups of each step, by step number.
     groups: dict[int, tuple[Group, ...]] = attrs.field(factory=dict)
-    # Checkpoint, with the number of samples taken by then.
+    # Saved checkpoint as JSON, and the number of samples taken before it.
     saved: tuple[str, int] = ("", 0)
 
 
-class Session(Checking):
-    """One scenario on one cluster."""
+class Session(SessionChecks):
+    """State of one scenario that runs on one cluster."""
 
     def __init__(
         self,
@@ -95,16 +95,16 @@
         return "\n".join(lines) + "\n"
 
     def execute(self, statement: Statement) -> str:
-        """Run one statement; return its line of the transcript."""
+        """Run one statement; return its transcript line."""
         action: Callable[..., str] = getattr(self, f"_do_{statement.verb}")
         outcome = action(*statement.arguments)
-        return f"{self._words(statement)} -> {outcome}"
+        return f"{self._format_statement(statement)} -> {outcome}"
 
-    def _words(self, statement: Statement) -> str:
+    def _format_statement(self, statement: Statement) -> str:
         parts = [statement.verb]
         for item in statement.arguments:
             if isinstance(item, Statement):
-                parts.append(f"({self._words(item)})")
+                parts.append(f"({self._format_statement(item)})")
             elif isinstance(item, Target):
                 parts.append(item.name if item.kind == "name" else str(item.kind))
             elif isinstance(item, Option):
@@ -191,7 +191,7 @@
         return "leaving"
 
     def _do_order(self, engine: str, model: str, version: str, fence: str) -> str:
-        """Send an order past the agent, as one that wakes late would."""
+        """Send an order past the agent, as a delayed agent with an old fence would."""
         stored = self._trainers_of(model).simulated.digests[int(version)]
         fields = {
             "model": str(model),
@@ -219,7 +219,7 @@
         return "started"
 
     def _do_join(self, label: str) -> str:
-        line: str = self._started[label].result(_BOUND_S * 2)
+        line: str = self._started[label].result(_TIMEOUT_S * 2)
         return line.partition(" -> ")[2]
 
     # Configuration.
@@ -273,7 +273,7 @@
 
     def _do_take(self, trainer: str, step: str, count: int | None) -> str:
         work = self._pool.submit(self._take, trainer, step, count)
-        return work.result(_TAKE_BOUND_S)
+        return work.result(_TAKE_TIMEOUT_S)
 
     def _take(self, trainer: str, step: str, count: int | None) -> str:
         state = self._trainers[trainer]
@@ -333,9 +333,9 @@
         with self._lock:
             self._results.append(result)
         parts = [str(result.status), result.error or "answer", result.execution]
-        parts += ["whole"] if result.whole else []
-        parts += ["replayed"] if result.replayed else []
-        parts += ["says when"] if result.names_return else []
+        parts += ["whole"] if result.is_complete else []
+        parts += ["replayed"] if result.is_replayed else []
+        parts += ["says when"] if result.has_retry_after else []
         return ", ".join(parts)
 
     def _call(
