--- a/tests/crashing.py
+++ b/tests/crashing.py
@@ -9,12 +9,12 @@
 from pistachioglade.platform import names
 from pistachioglade.standins._fleet_instance import FleetInstance
 
-from .serving import LOOKUP, EntryProcess, Fleet, instances_of
+from .serving import LOOKUP, Fleet, ServingProcess, instances_of
 
 #: Path of the request that crashes the instances that run it.
 FATAL_PATH = f"{LOOKUP}fatal"
 _FATAL_ID = "fatal-"
-#: Delay before a crashed instance is replaced.
+#: Delay before a crashed instance is replaced, in seconds.
 _REPLACEMENT_DELAY_S = 0.4
 
 
@@ -23,7 +23,7 @@
 
 
 class CrashingUpstream:
-    """Replaces instances that a request crashes."""
+    """Replaces the instances of an upstream that requests to one path crash."""
 
     def __init__(
         self,
@@ -47,9 +47,9 @@
 
     def _prepare(self, instance: FleetInstance) -> None:
         instance.crash_paths = {self._path}
-        instance.on_crash = lambda: self._crashed(instance)
+        instance.on_crash = lambda: self._handle_crash(instance)
 
-    def _crashed(self, instance: FleetInstance) -> None:
+    def _handle_crash(self, instance: FleetInstance) -> None:
         self.crashes_s.append(now_s())
         task = asyncio.create_task(self._replace(instance))
         self._tasks.add(task)
@@ -62,7 +62,7 @@
         await self.add()
 
     async def add(self) -> None:
-        """Start an additional instance."""
+        """Start and register an additional instance."""
         name = f"{self._upstream}-again-{next(self._starts)}"
         instance = FleetInstance(name, self._upstream, self._models)
         self._prepare(instance)
@@ -89,7 +89,7 @@
         # Answers, each with its duration in seconds.
         self.answers: list[tuple[Response, float]] = []
 
-    async def call(self, entry: EntryProcess) -> Response:
+    async def call(self, entry: ServingProcess) -> Response:
         """Send the request once."""
         begun_s = now_s()
         request_id = f"{_FATAL_ID}{next(self._numbers)}"
--- a/tests/ports.py
+++ b/tests/ports.py
@@ -6,29 +6,29 @@
 from itertools import count
 from typing import Final
 
-#: Reservations, kept open as long as this process runs.
+#: Bound sockets that reserve ports; they stay open until this process exits.
 _RESERVED: Final[list[socket.socket]] = []
 
 
 def reserve_port() -> int:
-    """Return a loopback port that nobody but the caller's processes can get.
+    """Return a loopback port that no process of another test can get.
 
-    A port that was merely found free can become the end of somebody else's connection
-    before the process that it is meant for listens there. A bound socket that doesn't
-    listen keeps the kernel from handing the port out, while a server that sets
-    SO_REUSEADDR, as ours do, may still listen there, also after a restart.
+    The kernel can assign a port that was only seen to be free to another process's
+    connection before the intended process listens. A bound socket that doesn't listen
+    keeps the kernel from assigning the port, while a server that sets SO_REUSEADDR, as
+    the serving programs do, can still listen there, also after a restart.
     """
     return _reserve(0)
 
 
 def reserve_port_pair() -> int:
-    """Return the first of two neighbouring ports that are both reserved."""
+    """Return the first of two consecutive reserved ports."""
     for _ in count():
         first = _reserve(0)
         try:
             _reserve(first + 1)
         except OSError:
-            # The neighbour is somebody's; the first port stays reserved, unused.
+            # Another process has the next port; the first port stays reserved, unused.
             continue
         return first
     raise AssertionError("count() doesn't end")
--- a/tests/serving.py
+++ b/tests/serving.py
@@ -1,4 +1,4 @@
-"""Real serving programs as processes, before the store's and instances' stand-ins."""
+"""Runs the serving programs as processes against stand-ins of store and instances."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def configuration(version: int, **more: Any) -> dict[str, Any]:
-    """Return a configuration with a route of each kind that is used here."""
+    """Return a configuration with idempotent, non-idempotent and rollout routes."""
     return {
         "version": version,
         "routes": [
@@ -64,19 +64,19 @@
 
 
 @attrs.define(eq=False)
-class EntryProcess:
-    """One serving program as a process, an entry in most cases."""
+class ServingProcess:
+    """A serving program as a process, by default an entry."""
 
     name: str
     port: int
     ready_port: int
     settings: Path
     log: Path
-    # Which of the serving programs it runs.
+    # Role argument of the serving program.
     role: str = "entry"
-    # What its environment holds beside the test's own.
+    # Environment variables in addition to those of the test process.
     variables: dict[str, str] = attrs.field(factory=dict)
-    # Checkout whose code runs; None for the one that runs the test.
+    # Checkout whose code the process runs; None for the checkout of the test.
     build: Path | None = None
     process: asyncio.subprocess.Process | None = None
 
@@ -95,16 +95,16 @@
                 stderr=log,
             )
 
-    def signal(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         assert self.process is not None
         self.process.send_signal(number)
 
-    async def ended(self) -> int:
+    async def wait_for_exit(self) -> int:
         assert self.process is not None
         return await self.process.wait()
 
-    async def ready(self) -> None:
-        """Wait until it is ready; a process that has ended instead is told at once."""
+    async def wait_until_ready(self) -> None:
+        """Wait for readiness; fail at once if the process has exited."""
         while not await self.is_ready():
             assert self.process is not None
             ended = self.process.returncode
@@ -117,7 +117,7 @@
         pool.close()
         return isinstance(answer, Response) and answer.status == 200
 
-    def lines(self, event: str) -> list[dict[str, Any]]:
+    def log_lines(self, event: str) -> list[dict[str, Any]]:
         """Return the log lines of an event."""
         texts = self.log.read_text().splitlines()
         parsed = [json.loads(text) for text in texts if text.startswith("{")]
@@ -126,24 +126,24 @@
 
 @attrs.define(eq=False)
 class Fleet:
-    """Entries, instances and their store."""
+    """Entries and instances with the store that they share."""
 
     store: ServedStore
     folder: Path
-    entries: list[EntryProcess] = attrs.field(factory=list)
+    entries: list[ServingProcess] = attrs.field(factory=list)
     instances: list[FleetInstance] = attrs.field(factory=list)
-    # Settings of programs that differ from the usual ones.
+    # Settings that replace the defaults in the settings file of each program.
     extra_settings: dict[str, str] = attrs.field(factory=dict)
-    # What the environment of programs holds beside the test's own.
+    # Environment variables of entries in addition to those of the test process.
     variables: dict[str, str] = attrs.field(factory=dict)
 
     async def add_instance(self, instance: FleetInstance) -> FleetInstance:
         await instance.start()
         self.instances.append(instance)
-        await self.list_instance(instance)
+        await self.register_instance(instance)
         return instance
 
-    async def list_instance(self, instance: FleetInstance) -> None:
+    async def register_instance(self, instance: FleetInstance) -> None:
         client = self.store.client()
         await client.delete(names.INSTANCE_KIND, instance.id)
         await client.create(names.INSTANCE_KIND, instance.id, instance.entry(), 5.0)
@@ -155,8 +155,8 @@
         if getattr(made, "value", None) != value:
             await client.replace(kind, name, value, None)
 
-    def settings_of(self, name: str, store_port: int) -> dict[str, str]:
-        """Return what the settings of every program hold."""
+    def program_settings(self, name: str, store_port: int) -> dict[str, str]:
+        """Return the settings that every program has."""
         internal_port = reserve_port_pair()
         return {
             "node-name": name,
@@ -177,26 +177,26 @@
         }
 
     def write_settings(self, name: str, fields: dict[str, str]) -> Path:
-        """Write a process's settings file."""
+        """Write the settings file of a process."""
         path = self.folder / f"{name}.conf"
         path.write_text("".join(f"{key}={fields[key]}\n" for key in fields))
         return path
 
     async def add_entry(
         self, name: str, store_port: int | None = None, build: Path | None = None
-    ) -> EntryProcess:
-        """Start an entry, by way of another port of the store where one is given."""
+    ) -> ServingProcess:
+        """Start an entry; ``store_port`` replaces the store's own port, for a relay."""
         port, ready_port = reserve_port(), reserve_port()
         settings = self.write_settings(
             name,
-            self.settings_of(name, store_port or self.store.port)
+            self.program_settings(name, store_port or self.store.port)
             | {
                 "listen.frontend": f"127.0.0.1:{port}",
                 "listen.ready": f"127.0.0.1:{ready_port}",
             },
         )
         log = self.folder / f"{name}.log"
-        entry = EntryProcess(
+        entry = ServingProcess(
             name,
             port,
             ready_port,
@@ -207,7 +207,7 @@
         )
         await entry.start()
         self.entries.append(entry)
-        await entry.ready()
+        await entry.wait_until_ready()
         return entry
 
     async def add_engine_program(
@@ -216,26 +216,26 @@
         engine_port: int,
         store_port: int,
         build: Path | None = None,
-    ) -> EntryProcess:
-        """Start the program beside an engine."""
-        fields = self.settings_of(name, store_port)
+    ) -> ServingProcess:
+        """Start the engine program that serves one engine."""
+        fields = self.program_settings(name, store_port)
         fields["app"] = f"127.0.0.1:{engine_port}"
         settings = self.write_settings(name, fields)
         log = self.folder / f"{name}.log"
-        program = EntryProcess(name, 0, 0, settings, log, "engine", build=build)
+        program = ServingProcess(name, 0, 0, settings, log, "engine", build=build)
         await program.start()
         return program
 
     async def call(
         self,
-        entry: EntryProcess,
+        entry: ServingProcess,
         method: str,
         target: str,
         request_id: str = "r",
         body: bytes = b"",
         **fields: str,
     ) -> Response:
-        """Make one call at an entry on a connection of its own."""
+        """Send one request to an entry over a new connection."""
         pool = Pool("127.0.0.1", entry.port)
         sent = (
             ("Host", HOST),
@@ -247,10 +247,10 @@
         assert isinstance(answer, Response), answer
         return answer
 
-    async def results(
-        self, entry: EntryProcess, job_id: str, count: int
+    async def read_results(
+        self, entry: ServingProcess, job_id: str, count: int
     ) -> list[dict[str, Any]]:
-        """Read a job's results until there are ``count``."""
+        """Read the results of a job until ``count`` of them have come."""
         found: list[dict[str, Any]] = []
         while len(found) < count:
             answer = await self.call(
@@ -277,8 +277,8 @@
             instance.stop()
 
 
-def with_single_versions(value: dict[str, Any]) -> dict[str, Any]:
-    """Return a configuration whose jobs take texts of one weight version only."""
+def with_single_version_jobs(value: dict[str, Any]) -> dict[str, Any]:
+    """Set the rollout routes to accept only texts of a single weight version."""
     for route in value["routes"]:
         if route["type"] == "rollout":
             route["single-version"] = True
@@ -288,7 +288,7 @@
 def submission(
     groups: int, size: int, min_version: int = 1, prefix: str = "", **more: Any
 ) -> bytes:
-    """Return a job of ``groups`` times ``size`` items, each with a reward call."""
+    """Return a job of ``groups`` groups of ``size`` items, each with a reward call."""
     items = [
         {
             "id": f"{prefix}item-{group}-{number}",
@@ -313,7 +313,7 @@
 
 @asynccontextmanager
 async def small_fleet(folder: Path, entries: int = 1) -> AsyncIterator[Fleet]:
-    """Two plain instances, two engines, and entries before them."""
+    """Run two plain instances, two engines, and entries that forward to them."""
     async with served_store() as store:
         fleet = Fleet(store, folder)
         try:
@@ -328,12 +328,12 @@
             await fleet.stop()
 
 
-#: What a test does with a fleet.
+#: Body of a test that runs on a fleet.
 Case = Callable[[Fleet], Awaitable[None]]
 
 
-def play(folder: Path, case: Case, entries: int = 1) -> None:
-    """Play a case before a small fleet of its own."""
+def run_case(folder: Path, case: Case, entries: int = 1) -> None:
+    """Run a test case on a new small fleet."""
 
     async def work() -> None:
         async with small_fleet(folder, entries) as fleet:
@@ -343,5 +343,5 @@
 
 
 def instances_of(fleet: Fleet, upstream: str) -> list[FleetInstance]:
-    """Return the instances of an upstream that were ever added."""
+    """Return all instances of an upstream, including stopped ones."""
     return [item for item in fleet.instances if item.upstream == upstream]
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input to a running deployment: a clear refusal, and the process lives."""
+"""Bad input to a running deployment is refused clearly and stops no process."""
 
 from __future__ import annotations
 
@@ -89,7 +89,7 @@
 
 
 def _check_other_trainers_samples(cluster: Cluster) -> None:
-    """Ask as one trainer for a step of another's number."""
+    """Fetch, as one trainer, a step number that only another trainer has opened."""
     opened = cluster.request("entry-0", "POST", "/v1/steps/1", _STEP, token_of("alpha"))
     assert isinstance(opened, HttpReply)
     assert opened.status == 200
@@ -134,7 +134,7 @@
             asyncio.run(_send(address, headers, b""))
 
 
-def test_bad_input_gets_a_clear_refusal_and_nothing_is_lost(cluster: Cluster) -> None:
+def test_bad_input_is_refused_and_stops_no_process(cluster: Cluster) -> None:
     cluster.apply(CONFIGS["base"])
     _check_http(cluster)
     _check_other_trainers_samples(cluster)
--- a/tests/test_ctl.py
+++ b/tests/test_ctl.py
@@ -35,13 +35,15 @@
     assert "line 3: surprise: unknown field" in result.output
 
 
-def test_without_an_entry_there_is_a_message() -> None:
+def test_status_without_an_entry_url_is_a_usage_error() -> None:
     result = CliRunner().invoke(main, ["status"])
     assert result.exit_code == 2
     assert "--url" in result.output
 
 
-def test_operating_a_deployment(cluster: Cluster, tmp_path: Path) -> None:
+def test_operator_commands_work_on_a_running_deployment(
+    cluster: Cluster, tmp_path: Path
+) -> None:
     base, second = tmp_path / "base.yaml", tmp_path / "second.yaml"
     base.write_text(CONFIGS["base"])
     second.write_text(CONFIGS["second"])
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""What the pages show works."""
+"""The examples on the documentation pages work."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from .conftest import CONFIGS
 
 _DOCS = Path(__file__).parents[1] / "docs"
-#: Names of the pages to those of the small deployment.
+#: Names on the pages, with the names in the small deployment.
 _NAMES = {
     "demo-lawyers": token_of("clerk"),
     "archief-app": "app",
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""Reserved ports: nobody else gets them, their server does; dead starts are told."""
+"""Reserved ports are assigned to no other process; failed starts are reported."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("place", [0, 1])
-def test_a_server_listens_at_its_reserved_port_and_comes_back(place: int) -> None:
+def test_a_server_can_listen_at_its_reserved_port_repeatedly(place: int) -> None:
     port = reserve_port_pair() + place
 
     async def listen_and_close() -> None:
@@ -51,8 +51,8 @@
     asyncio.run(listen_and_close())
 
 
-def test_an_entry_that_dies_at_its_start_is_told_at_once(tmp_path: Path) -> None:
-    """A port of its own was taken: a soak waited for ever for such an entry."""
+def test_an_entry_that_exits_at_its_start_is_reported_at_once(tmp_path: Path) -> None:
+    """Guards against waiting forever for an entry whose port is already in use."""
 
     async def work() -> None:
         async with small_fleet(tmp_path, entries=0) as fleet:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Every scenario in ``scenarios/``, against its golden session."""
+"""Runs every scenario in ``scenarios/`` and compares it with its snapshot."""
 
 from __future__ import annotations
 
--- a/tests/test_serving_changes.py
+++ b/tests/test_serving_changes.py
@@ -1,4 +1,4 @@
-"""The serving programs while routes, clocks and settings change under running jobs."""
+"""Serving programs while routes, clocks and settings change during jobs."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 from .serving import (
     JOBS,
     LOOKUP,
-    EntryProcess,
     Fleet,
+    ServingProcess,
     configuration,
     instances_of,
-    play,
+    run_case,
     submission,
 )
 
-#: Most by which a logged time and a logged duration may differ from their sum.
+#: Rounding error of a logged end time minus a logged duration, in seconds.
 _ROUNDING_S = 0.002
 
 
@@ -39,22 +39,23 @@
     return datetime.fromisoformat(line["timestamp"]).timestamp()
 
 
-async def _in_force(fleet: Fleet, version: int) -> None:
+async def _wait_for_configuration(fleet: Fleet, version: int) -> None:
     for entry in fleet.entries:
         while not any(
-            line["version"] == version for line in entry.lines("configuration-in-force")
+            line["version"] == version
+            for line in entry.log_lines("configuration-in-force")
         ):
             await asyncio.sleep(0.05)
 
 
 def test_waiting_samples_follow_their_route_to_another_upstream(tmp_path: Path) -> None:
-    """Found by reading: a run kept the route that it had begun with.
+    """A job must not keep the route that was configured when the job began.
 
-    Samples don't leave slow instances here: beside load, one of these stand-ins may
-    look slow beside the other, and its sample then goes on at the new upstream, as it
-    may. Beside more load this process stands still, and its stand-ins with it: tries
-    break, are made again, and reach a stand-in late. So what counts is where the entry
-    began each try, by its own log, not when a stand-in saw it.
+    Moving samples off slow instances is disabled: under load one stand-in may look
+    slower than the other, and its sample may then continue at the new upstream. Under
+    heavier load this process and its stand-ins pause: tries fail, are repeated and
+    reach a stand-in late. The test therefore uses the time at which the entry began
+    each try, from the entry's log, and not the time at which a stand-in received it.
     """
 
     async def case(fleet: Fleet) -> None:
@@ -64,7 +65,7 @@
         for engine in engines:
             engine.events, engine.event_s = 30, 0.03
             engine.slots = 1
-            await fleet.list_instance(engine)
+            await fleet.register_instance(engine)
         other = FleetInstance("other-0", "lm2", ("m",), events=30, event_s=0.03)
         await fleet.add_instance(other)
         await asyncio.sleep(1.5)
@@ -76,12 +77,12 @@
             if route["name"] == "jobs":
                 route["service"] = "lm2"
         await fleet.configure(moved)
-        await _in_force(fleet, 2)
+        await _wait_for_configuration(fleet, 2)
         before_move = len({item for engine in engines for item in engine.runs})
-        results = await fleet.results(entry, "job-1", 8)
+        results = await fleet.read_results(entry, "job-1", 8)
         assert {result["state"] for result in results} == {"completed"}
-        in_force_s = _logged_s(entry.lines("configuration-in-force")[-1])
-        tries = entry.lines("item-tried")
+        in_force_s = _logged_s(entry.log_lines("configuration-in-force")[-1])
+        tries = entry.log_lines("item-tried")
         begun_later = [
             line
             for line in tries
@@ -102,17 +103,17 @@
         waiting = ended_at.keys() - begun_before
         assert waiting
         assert {ended_at[item] for item in waiting} == {other.id}
-        # Two ran when the route moved; all that waited went to the new upstream.
+        # Two samples ran when the route changed; all waiting ones use the new upstream.
         assert sum(name == other.id for name in ended_at.values()) >= 8 - before_move
 
-    play(tmp_path, case, entries=0)
+    run_case(tmp_path, case, entries=0)
 
 
-def test_waiting_samples_end_with_their_route(tmp_path: Path) -> None:
+def test_waiting_samples_terminate_when_their_route_is_removed(tmp_path: Path) -> None:
     async def case(fleet: Fleet) -> None:
         for engine in instances_of(fleet, "lm"):
             engine.events, engine.event_s, engine.slots = 60, 0.03, 1
-            await fleet.list_instance(engine)
+            await fleet.register_instance(engine)
         await asyncio.sleep(1.5)
         entry = fleet.entries[0]
         await fleet.call(entry, "POST", f"{JOBS}x", "job-1", submission(1, 4))
@@ -123,15 +124,15 @@
             route for route in without["routes"] if route["name"] != "jobs"
         ]
         await fleet.configure(without)
-        results = await fleet.results(entry, "job-1", 4)
+        results = await fleet.read_results(entry, "job-1", 4)
         states = sorted(result["state"] for result in results)
         assert states == ["completed"] * 2 + ["terminated"] * 2
 
-    play(tmp_path, case)
+    run_case(tmp_path, case)
 
 
-def test_a_clock_that_steps_gives_no_sample_up(tmp_path: Path) -> None:
-    """Found by reading: a job's age came from the time of day of two machines."""
+def test_a_clock_step_terminates_no_sample(tmp_path: Path) -> None:
+    """The age of a job must not be computed from the wall clocks of two machines."""
 
     async def case(fleet: Fleet) -> None:
         entry = fleet.entries[0]
@@ -146,14 +147,14 @@
             engine.faults.refused = 4
         client = fleet.store.client()
         await client.create(JOB_KIND, "job-1", encode_submission(stored), 5.0)
-        results = await fleet.results(entry, "job-1", 2)
+        results = await fleet.read_results(entry, "job-1", 2)
         assert [result["state"] for result in results] == ["completed"] * 2
 
-    play(tmp_path, case)
+    run_case(tmp_path, case)
 
 
 def test_a_sample_waits_for_the_route_of_its_reward_call(tmp_path: Path) -> None:
-    """Found by reading: a reward call without a route gave its sample up."""
+    """A reward call without a route must not terminate its sample."""
 
     async def case(fleet: Fleet) -> None:
         entry = fleet.entries[0]
@@ -162,16 +163,16 @@
             route for route in without["routes"] if route["name"] != "reward"
         ]
         await fleet.configure(without)
-        await _in_force(fleet, 2)
+        await _wait_for_configuration(fleet, 2)
         await fleet.call(entry, "POST", f"{JOBS}x", "job-1", submission(1, 2))
-        while not entry.lines("item-tried"):
+        while not entry.log_lines("item-tried"):
             await asyncio.sleep(0.05)
         await fleet.configure(configuration(3))
-        results = await fleet.results(entry, "job-1", 2)
+        results = await fleet.read_results(entry, "job-1", 2)
         assert {result["state"] for result in results} == {"completed"}
         assert results[0]["output-text"] == whole_text(results[0]["id"], 6)
 
-    play(tmp_path, case)
+    run_case(tmp_path, case)
 
 
 def _rewrite(path: Path, old: str, new: str) -> None:
@@ -180,14 +181,14 @@
     path.write_text(text.replace(old, new))
 
 
-async def _line(entry: EntryProcess, event: str) -> dict[str, Any]:
-    while not (lines := entry.lines(event)):
+async def _wait_for_line(entry: ServingProcess, event: str) -> dict[str, Any]:
+    while not (lines := entry.log_lines(event)):
         await asyncio.sleep(0.05)
     return lines[-1]
 
 
 @pytest.mark.parametrize("with_signal", [True, False])
-def test_settings_are_followed_with_and_without_a_signal(
+def test_changed_settings_apply_with_and_without_a_signal(
     with_signal: bool, tmp_path: Path
 ) -> None:
     async def case(fleet: Fleet) -> None:
@@ -195,36 +196,36 @@
         _rewrite(entry.settings, "grace-period-s=8", "grace-period-s=5")
         _rewrite(entry.settings, "zone=zone-a", "zone=zone-b")
         if with_signal:
-            entry.signal(signal.SIGHUP)
-        line = await _line(entry, "settings-changed")
+            entry.send_signal(signal.SIGHUP)
+        line = await _wait_for_line(entry, "settings-changed")
         assert line["in_force"] == ["grace_s"]
         assert line["after_restart"] == ["domain"]
-        assert bool(entry.lines("reload")) is with_signal
+        assert bool(entry.log_lines("reload")) is with_signal
         assert (await fleet.call(entry, "GET", f"{LOOKUP}x")).status == 200
 
-    play(tmp_path, case)
+    run_case(tmp_path, case)
 
 
-def test_settings_with_a_fault_change_nothing(tmp_path: Path) -> None:
+def test_invalid_settings_change_nothing(tmp_path: Path) -> None:
     async def case(fleet: Fleet) -> None:
         entry = fleet.entries[0]
         _rewrite(entry.settings, "grace-period-s=8", "grace-period-s=soon")
-        entry.signal(signal.SIGHUP)
-        line = await _line(entry, "settings-refused")
+        entry.send_signal(signal.SIGHUP)
+        line = await _wait_for_line(entry, "settings-refused")
         assert str(entry.settings) in line["reason"]
         assert "grace-period-s" in line["reason"]
         assert (await fleet.call(entry, "GET", f"{LOOKUP}x")).status == 200
 
-    play(tmp_path, case)
+    run_case(tmp_path, case)
 
 
-def test_a_store_that_moves_is_followed(tmp_path: Path) -> None:
+def test_a_changed_store_address_is_followed(tmp_path: Path) -> None:
     async def case(fleet: Fleet) -> None:
         entry = fleet.entries[0]
-        asked: list[str] = []
+        requested_paths: list[str] = []
 
         async def handle(request: Request, reply: Reply) -> None:
-            asked.append(request.path)
+            requested_paths.append(request.path)
             await fleet.store.handle(request, reply)
 
         server = HttpServer(handle, ServerLimits())
@@ -232,77 +233,75 @@
         old = f"platform.address=127.0.0.1:{fleet.store.port}"
         new = f"platform.address=127.0.0.1:{server.port}"
         _rewrite(entry.settings, old, new)
-        entry.signal(signal.SIGHUP)
-        await _line(entry, "store-moved")
+        entry.send_signal(signal.SIGHUP)
+        await _wait_for_line(entry, "store-moved")
         fleet.store.port = server.port
         await fleet.configure(configuration(9))
-        await _in_force(fleet, 9)
+        await _wait_for_configuration(fleet, 9)
         watched = {names.CONFIGURATION_KIND, names.INSTANCE_KIND, JOB_KIND}
-        assert watched <= {path.rpartition("/")[2] for path in asked}
+        assert watched <= {path.rpartition("/")[2] for path in requested_paths}
         server.stop_listening()
 
-    play(tmp_path, case)
+    run_case(tmp_path, case)
 
 
-def test_a_job_whose_home_does_not_answer_goes_elsewhere_at_once(
+def test_a_job_whose_first_owner_is_frozen_runs_elsewhere_at_once(
     tmp_path: Path,
 ) -> None:
-    """Incident e770: a step waited 3 s for the list to show that its home was gone."""
+    """A job must not wait 3 s for the list of entries to show a lost owner."""
 
     async def case(fleet: Fleet) -> None:
         for entry in fleet.entries:
-            while len({line["entry"] for line in entry.lines("entry-listed")}) < 2:
+            while len({line["entry"] for line in entry.log_lines("entry-listed")}) < 2:
                 await asyncio.sleep(0.05)
         await fleet.call(
             fleet.entries[0], "POST", f"{JOBS}x", "job-0", submission(1, 1)
         )
-        while not any(entry.lines("job-run-begun") for entry in fleet.entries):
+        while not any(entry.log_lines("job-run-begun") for entry in fleet.entries):
             await asyncio.sleep(0.05)
-        home, other = sorted(
-            fleet.entries, key=lambda entry: not entry.lines("job-run-begun")
+        owner, other = sorted(
+            fleet.entries, key=lambda entry: not entry.log_lines("job-run-begun")
         )
-        home.signal(signal.SIGSTOP)
+        owner.send_signal(signal.SIGSTOP)
         await fleet.call(other, "POST", f"{JOBS}x", "job-1", submission(2, 2))
-        results = await fleet.results(other, "job-1", 4)
+        results = await fleet.read_results(other, "job-1", 4)
         assert {result["state"] for result in results} == {"completed"}
-        lost = await _line(other, "entry-lost")
+        lost = await _wait_for_line(other, "entry-lost")
         begun = next(
-            line for line in other.lines("job-run-begun") if line["job"] == "job-1"
+            line for line in other.log_lines("job-run-begun") if line["job"] == "job-1"
         )
         assert begun["timestamp"] < lost["timestamp"]
-        home.signal(signal.SIGCONT)
+        owner.send_signal(signal.SIGCONT)
 
-    play(tmp_path, case, entries=2)
+    run_case(tmp_path, case, entries=2)
 
 
-def test_a_new_home_hears_of_the_job_and_not_of_its_owner_alone(
-    tmp_path: Path,
-) -> None:
-    """Jalrekha trouble-3: the new home waited a second for its watch."""
+def test_a_new_owner_receives_the_job_over_a_link(tmp_path: Path) -> None:
+    """A new owner must not wait a second for its watch to deliver the job."""
 
     async def case(fleet: Fleet) -> None:
         for entry in fleet.entries:
-            while len({line["entry"] for line in entry.lines("entry-listed")}) < 3:
+            while len({line["entry"] for line in entry.log_lines("entry-listed")}) < 3:
                 await asyncio.sleep(0.05)
         await fleet.call(
             fleet.entries[0], "POST", f"{JOBS}x", "job-0", submission(1, 1)
         )
-        while not any(entry.lines("job-run-begun") for entry in fleet.entries):
+        while not any(entry.log_lines("job-run-begun") for entry in fleet.entries):
             await asyncio.sleep(0.05)
-        home, *others = sorted(
-            fleet.entries, key=lambda entry: not entry.lines("job-run-begun")
+        owner, *others = sorted(
+            fleet.entries, key=lambda entry: not entry.log_lines("job-run-begun")
         )
-        home.signal(signal.SIGKILL)
-        # From here on no watch brings anything: what is known was told over links.
+        owner.send_signal(signal.SIGKILL)
+        # From here on watches deliver nothing: entries learn of jobs over links only.
         fleet.store.late_watches = True
-        # The watches that wait already bring the first job.
+        # Watches that are already waiting still deliver the first job.
         for number, entry in enumerate(others * 2):
             job = f"job-{number + 1}"
             await fleet.call(entry, "POST", f"{JOBS}x", job, submission(1, 2))
-            results = await fleet.results(entry, job, 2)
+            results = await fleet.read_results(entry, job, 2)
             assert {result["state"] for result in results} == {"completed"}
 
-    play(tmp_path, case, entries=3)
+    run_case(tmp_path, case, entries=3)
 
 
 _START = """
@@ -317,15 +316,16 @@
 
 
 def test_a_hangup_during_the_start_ends_no_process() -> None:
-    """Soak seed 1: SIGHUP before the handler stood ended the process."""
+    """SIGHUP before the handler is installed must not end the process."""
     done = subprocess.run([sys.executable, "-c", _START], capture_output=True)
     assert done.returncode == 0, done.stderr
 
 
-def test_a_reward_call_that_always_fails_is_made_as_often_as_its_route_says(
-    tmp_path: Path,
-) -> None:
-    """Before: as often again for each try within a call, and 1.2 s instead of 0.3 s."""
+def test_a_failing_reward_call_is_tried_max_attempts_times(tmp_path: Path) -> None:
+    """Retries within a call must not multiply with retries of the call.
+
+    With both, a failing reward call takes 1.2 s instead of 0.3 s.
+    """
 
     async def case(fleet: Fleet) -> None:
         services = instances_of(fleet, "app")
@@ -333,8 +333,8 @@
             service.faults.failed = 100
         entry = fleet.entries[0]
         await fleet.call(entry, "POST", f"{JOBS}x", "job-1", submission(1, 1))
-        results = await fleet.results(entry, "job-1", 1)
+        results = await fleet.read_results(entry, "job-1", 1)
         assert results[0]["state"] == "terminated"
         assert sum(service.runs["reward-0-0"] for service in services) == 3
 
-    play(tmp_path, case)
+    run_case(tmp_path, case)
--- a/tests/test_serving_crashes.py
+++ b/tests/test_serving_crashes.py
@@ -10,20 +10,20 @@
 from soak._relay import Relay, RelayMode
 
 from .crashing import CrashingUpstream, RepeatingCaller, now_s
-from .serving import JOBS, LOOKUP, REWARD, Fleet, play, submission
+from .serving import JOBS, LOOKUP, REWARD, Fleet, run_case, submission
 
-#: Time allowed for entries to learn of crashes after a crash, restart or partition.
+#: Time for entries to learn of crashes after a crash, restart or partition, in seconds.
 _PROPAGATION_S = 3.0
-#: Most client attempts that may reach instances afterwards.
-_MOST_RETRIES = 3
+#: Maximum number of client attempts that may reach instances after that time.
+_MAX_RETRIES = 3
 
 
 def _lost_tries(fleet: Fleet) -> list[dict[str, Any]]:
-    tries = (line for entry in fleet.entries for line in entry.lines("call-tried"))
+    tries = (line for entry in fleet.entries for line in entry.log_lines("call-tried"))
     return [line for line in tries if line["outcome"] == "connection-lost"]
 
 
-async def _third_crash(upstream: CrashingUpstream) -> float:
+async def _wait_for_third_crash(upstream: CrashingUpstream) -> float:
     while len(upstream.crashes_s) < 3:
         await asyncio.sleep(0.02)
     return upstream.crashes_s[2]
@@ -39,46 +39,44 @@
             lost = _lost_tries(fleet)
         assert len({line["request_digest"] for line in lost}) == 1
 
-    play(tmp_path, case, entries=2)
+    run_case(tmp_path, case, entries=2)
 
 
-def test_a_request_that_crashes_instances_is_not_sent_on_for_ever(
-    tmp_path: Path,
-) -> None:
+def test_a_request_that_crashes_instances_is_quarantined(tmp_path: Path) -> None:
     async def case(fleet: Fleet) -> None:
         upstream = CrashingUpstream(fleet)
         for _ in range(4):
             await upstream.add()
         await RepeatingCaller(fleet).call_until(now_s() + 7.0)
-        settled_s = await _third_crash(upstream) + _PROPAGATION_S
-        assert upstream.attempts_since(settled_s) <= _MOST_RETRIES
+        settled_s = await _wait_for_third_crash(upstream) + _PROPAGATION_S
+        assert upstream.attempts_since(settled_s) <= _MAX_RETRIES
         assert len(upstream.crashes_s) < 3 + len(fleet.entries)
 
-    play(tmp_path, case, entries=3)
+    run_case(tmp_path, case, entries=3)
 
 
-def test_entries_that_start_again_know_of_crashes(tmp_path: Path) -> None:
+def test_restarted_entries_know_of_crashes(tmp_path: Path) -> None:
     async def case(fleet: Fleet) -> None:
         upstream = CrashingUpstream(fleet)
         await upstream.add()
         caller = RepeatingCaller(fleet)
         calling = asyncio.create_task(caller.call_until(float("inf")))
-        await _third_crash(upstream)
+        await _wait_for_third_crash(upstream)
         await asyncio.sleep(0.3)
         calling.cancel()
         crashes = len(upstream.crashes_s)
         for entry in fleet.entries:
-            entry.signal(signal.SIGKILL)
-            await entry.ended()
+            entry.send_signal(signal.SIGKILL)
+            await entry.wait_for_exit()
             await entry.start()
         for entry in fleet.entries:
-            await entry.ready()
+            await entry.wait_until_ready()
         settled_s = now_s() + _PROPAGATION_S
         await caller.call_until(settled_s + 5.0)
-        assert upstream.attempts_since(settled_s) <= _MOST_RETRIES
+        assert upstream.attempts_since(settled_s) <= _MAX_RETRIES
         assert len(upstream.crashes_s) == crashes
 
-    play(tmp_path, case, entries=2)
+    run_case(tmp_path, case, entries=2)
 
 
 def test_an_entry_that_was_cut_off_from_the_store_knows_of_crashes(
@@ -92,17 +90,17 @@
         relay.set_mode(RelayMode.SILENT)
         caller = RepeatingCaller(fleet)
         calling = asyncio.create_task(caller.call_until(float("inf")))
-        await _third_crash(upstream)
+        await _wait_for_third_crash(upstream)
         await asyncio.sleep(1.0)
         relay.set_mode(RelayMode.OPEN)
         settled_s = now_s() + _PROPAGATION_S
         await asyncio.sleep(_PROPAGATION_S + 5.0)
         calling.cancel()
         relay.stop()
-        assert upstream.attempts_since(settled_s) <= _MOST_RETRIES
+        assert upstream.attempts_since(settled_s) <= _MAX_RETRIES
         assert len(upstream.crashes_s) <= 3 + len(fleet.entries)
 
-    play(tmp_path, case, entries=2)
+    run_case(tmp_path, case, entries=2)
 
 
 def test_the_last_instance_is_spared_and_other_callers_are_served(
@@ -119,7 +117,7 @@
         assert len(upstream.crashes_s) <= 3
         assert set(statuses) == {200}
 
-    play(tmp_path, case, entries=1)
+    run_case(tmp_path, case, entries=1)
 
 
 def test_a_quarantined_request_is_refused_at_once_with_retry_after(
@@ -140,7 +138,7 @@
             assert caller.answers[-1][1] < 0.2
         assert len(upstream.crashes_s) == 3
 
-    play(tmp_path, case, entries=2)
+    run_case(tmp_path, case, entries=2)
 
 
 def test_crashes_are_known_to_all_entries_while_the_store_is_down(
@@ -156,25 +154,23 @@
         assert 3 <= len(upstream.crashes_s) <= 4
         fleet.store.standin.faults.down = False
 
-    play(tmp_path, case, entries=3)
+    run_case(tmp_path, case, entries=3)
 
 
-def test_a_reward_call_that_crashes_instances_is_quarantined(
-    tmp_path: Path,
-) -> None:
+def test_a_reward_call_that_crashes_instances_is_quarantined(tmp_path: Path) -> None:
     async def case(fleet: Fleet) -> None:
         upstream = CrashingUpstream(fleet, path=f"{REWARD}score")
         await upstream.add()
         job = submission(1, 1)
         await fleet.call(fleet.entries[0], "POST", f"{JOBS}x", "job-1", job)
-        await _third_crash(upstream)
+        await _wait_for_third_crash(upstream)
         await asyncio.sleep(4.0)
         assert len(upstream.crashes_s) == 3
 
-    play(tmp_path, case, entries=2)
+    run_case(tmp_path, case, entries=2)
 
 
-def test_a_sample_that_crashes_engines_is_put_off(tmp_path: Path) -> None:
+def test_a_sample_that_crashes_engines_is_delayed(tmp_path: Path) -> None:
     async def case(fleet: Fleet) -> None:
         path = f"{JOBS}fatal"
         upstream = CrashingUpstream(fleet, "lm", path, models=("m",))
@@ -182,9 +178,9 @@
             await upstream.add()
         job = submission(2, 2).replace(f"{JOBS}run".encode(), path.encode(), 1)
         await fleet.call(fleet.entries[0], "POST", f"{JOBS}x", "job-1", job)
-        third_s = await _third_crash(upstream)
+        third_s = await _wait_for_third_crash(upstream)
         await asyncio.sleep(third_s + 7.5 - now_s())
         assert len(upstream.crashes_s) <= 6
-        await fleet.results(fleet.entries[0], "job-1", 3)
+        await fleet.read_results(fleet.entries[0], "job-1", 3)
 
-    play(tmp_path, case)
+    run_case(tmp_path, case)
--- a/tests/test_serving_large_jobs.py
+++ b/tests/test_serving_large_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs whose submission or results are larger than an object of the store."""
+"""Jobs whose submission or results exceed the object size limit of the store."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from pistachioglade.jobs import JOB_KIND, RESULT_KIND
 from pistachioglade.platform import names
 
-from .serving import JOBS, Fleet, play, submission
+from .serving import JOBS, Fleet, run_case, submission
 
-#: Bytes of each of the eight bodies; the store takes a megabyte.
+#: Body of each of the eight items; the store accepts objects of up to a megabyte.
 _BODY = b'"quoted\\text" ' * 25_000
 
 
@@ -32,24 +32,24 @@
         for entry in (first, second):
             answer = await fleet.call(entry, "POST", f"{JOBS}x", "job-1", body)
             assert answer.status == 202, answer
-        before = await fleet.results(second, "job-1", 8)
+        before = await fleet.read_results(second, "job-1", 8)
         assert {result["state"] for result in before} == {"completed"}
         for entry in fleet.entries:
-            entry.signal(signal.SIGKILL)
-            await entry.ended()
+            entry.send_signal(signal.SIGKILL)
+            await entry.wait_for_exit()
             await entry.start()
-            await entry.ready()
+            await entry.wait_until_ready()
         for entry in fleet.entries:
             target = f"{names.ITEM_PATH}job-1?id=item-1-2"
             item = await fleet.call(entry, "GET", target)
             assert item.status == 200
             assert item.body == _BODY
-            assert await fleet.results(entry, "job-1", 8) == before
+            assert await fleet.read_results(entry, "job-1", 8) == before
 
-    play(tmp_path, case, entries=2)
+    run_case(tmp_path, case, entries=2)
 
 
-def test_a_large_job_that_can_not_be_kept_whole_does_not_run(tmp_path: Path) -> None:
+def test_a_large_job_that_cannot_be_stored_does_not_run(tmp_path: Path) -> None:
     async def case(fleet: Fleet) -> None:
         fleet.store.standin.faults.down = True
         entry = fleet.entries[0]
@@ -61,22 +61,22 @@
         answer = await fleet.call(entry, "GET", f"{names.JOB_PATH}job-1")
         assert answer.status == 404
 
-    play(tmp_path, case, entries=1)
+    run_case(tmp_path, case, entries=1)
 
 
-def test_results_that_come_together_are_written_in_objects_that_fit(
+def test_a_large_batch_of_results_is_split_into_objects_that_fit(
     tmp_path: Path,
 ) -> None:
-    """Found by reading: a batch above a megabyte was written again and again."""
+    """A result batch above a megabyte must not be refused and rewritten endlessly."""
 
     async def case(fleet: Fleet) -> None:
         for engine in fleet.instances:
-            # Forty bytes an event: 240 kB a text, four of which are a megabyte.
+            # At 40 bytes per event a text has 240 kB, and four have about a megabyte.
             if engine.versions:
                 engine.events, engine.event_s = 6000, 0.0
         entry = fleet.entries[0]
         await fleet.call(entry, "POST", f"{JOBS}x", "job-1", submission(2, 4))
-        results = await fleet.results(entry, "job-1", 8)
+        results = await fleet.read_results(entry, "job-1", 8)
         assert {result["state"] for result in results} == {"completed"}
         assert sum(len(result["output-text"]) for result in results) > 1_900_000
         batches = [
@@ -86,4 +86,4 @@
         ]
         assert len(batches) > 2
 
-    play(tmp_path, case, entries=1)
+    run_case(tmp_path, case, entries=1)
--- a/tests/test_serving_orders.py
+++ b/tests/test_serving_orders.py
@@ -1,7 +1,7 @@
-"""Weights of engines that have no process of ours beside them, with real entries.
+"""Weight orders, from real entries, for engines without an engine program.
 
-What users saw: on a fleet without machines beside engines no order was ever given; from
-the third version on no step earned anything.
+The tests guard against engines that get no orders when no engine programs run: from
+the third weight version on, no step then earns anything.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from pistachioglade.platform import names
 
-from .serving import Fleet, instances_of, play
+from .serving import Fleet, instances_of, run_case
 
 
 async def _name_version(fleet: Fleet, version: int) -> None:
@@ -21,8 +21,8 @@
     await client.replace(names.VERSION_KIND, "m", value, None)
 
 
-async def _until_loaded(fleet: Fleet, version: int) -> None:
-    """Wait until every engine is at most one version behind, and one has it."""
+async def _wait_until_loaded(fleet: Fleet, version: int) -> None:
+    """Wait until one engine has the version and all are at most one behind."""
     async with asyncio.timeout(20.0):
         while True:
             held = [engine.versions["m"] for engine in instances_of(fleet, "lm")]
@@ -31,36 +31,36 @@
             await asyncio.sleep(0.05)
 
 
-def test_an_entry_orders_the_weights_of_unattended_engines(tmp_path: Path) -> None:
+def test_an_entry_orders_weights_for_engines_without_a_program(tmp_path: Path) -> None:
     async def case(fleet: Fleet) -> None:
         for version in (2, 3, 4):
             await _name_version(fleet, version)
-            await _until_loaded(fleet, version)
+            await _wait_until_loaded(fleet, version)
         for engine in instances_of(fleet, "lm"):
             fences = [order["fencing-token"] for order in engine.orders]
             assert fences == sorted(fences)
             assert len({order["holder"] for order in engine.orders}) == 1
 
-    play(tmp_path, case, entries=3)
+    run_case(tmp_path, case, entries=3)
 
 
-def test_another_entry_goes_on_when_the_one_that_orders_is_gone(
+def test_another_entry_orders_weights_when_the_lease_holder_dies(
     tmp_path: Path,
 ) -> None:
     async def case(fleet: Fleet) -> None:
         await _name_version(fleet, 2)
-        await _until_loaded(fleet, 2)
+        await _wait_until_loaded(fleet, 2)
         await _name_version(fleet, 3)
-        await _until_loaded(fleet, 3)
+        await _wait_until_loaded(fleet, 3)
         holder = instances_of(fleet, "lm")[0].orders[-1]["holder"]
         lost = next(entry for entry in fleet.entries if entry.name == holder)
         assert lost.process is not None
         lost.process.kill()
         await lost.process.wait()
-        # Time for its neighbour to miss it.
+        # Time for another entry to detect the loss of the lease holder.
         await asyncio.sleep(2.0)
         for version in (4, 5):
             await _name_version(fleet, version)
-            await _until_loaded(fleet, version)
+            await _wait_until_loaded(fleet, version)
 
-    play(tmp_path, case, entries=3)
+    run_case(tmp_path, case, entries=3)
--- a/tests/test_serving_streams.py
+++ b/tests/test_serving_streams.py
@@ -1,4 +1,4 @@
-"""Callers' streams through the serving programs: passed on, resumed, broken off."""
+"""Callers' streams through the serving programs: forwarded, resumed, broken off."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from pistachioglade.standins._fleet_instance import FleetInstance, event_data
 from pistachioglade.store.tests.served import run
 
-from .serving import HOST, EntryProcess, Fleet, configuration, small_fleet
+from .serving import HOST, Fleet, ServingProcess, configuration, small_fleet
 
 Case = Callable[[Fleet], Awaitable[None]]
 STREAM = "/stream/"
@@ -36,7 +36,7 @@
     return value
 
 
-def _play(folder: Path, case: Case) -> None:
+def _run_case(folder: Path, case: Case) -> None:
     async def work() -> None:
         async with small_fleet(folder) as fleet:
             for engine in _engines(fleet):
@@ -44,7 +44,8 @@
             await fleet.configure(_with_streams(2))
             entry = fleet.entries[0]
             while not any(
-                line["version"] == 2 for line in entry.lines("configuration-in-force")
+                line["version"] == 2
+                for line in entry.log_lines("configuration-in-force")
             ):
                 await asyncio.sleep(0.02)
             await case(fleet)
@@ -57,30 +58,30 @@
 
 
 @attrs.frozen
-class Seen:
-    """What a caller has seen of an answer."""
+class Received:
+    """The part of an answer that a caller has received."""
 
-    # Its head; None if it never came.
+    # Response head; None if none came.
     head: ResponseHead | None
-    # Its body as far as it came.
+    # Received part of the body.
     body: bytes
-    # Whether its framing ended.
-    is_whole: bool
+    # Whether the end of the body was received.
+    is_complete: bool
 
 
-async def _ask(entry: EntryProcess, path: str, **fields: str) -> Seen:
+async def _request_stream(entry: ServingProcess, path: str, **fields: str) -> Received:
     connection = await open_connection("127.0.0.1", entry.port, 2.0)
     assert not isinstance(connection, Refusal)
     sent = (("Host", HOST), (names.ATTEMPT_ID, "id-1"), *fields.items())
     exchange = connection.start("POST", path, sent, b"prompt")
     head = await exchange.head()
     if isinstance(head, Refusal):
-        return Seen(None, b"", False)
+        return Received(None, b"", False)
     body = b""
     while isinstance(part := await exchange.read(), bytes):
         body += part
     connection.close()
-    return Seen(head, body, part is None)
+    return Received(head, body, part is None)
 
 
 def _events(first: int, end: int) -> bytes:
@@ -92,19 +93,19 @@
 
 @attrs.frozen
 class Expected:
-    """What becomes of a request whose first instance has a fault."""
+    """Expected outcome of a request whose first instance has a fault."""
 
-    # Name of the fault; empty for none.
+    # Name of the fault; empty for no fault.
     fault: str
-    # Path that is asked for.
+    # Path prefix of the request.
     path: str
-    # Status that the caller sees.
+    # Status that the caller receives.
     status: int
-    # Whether the answer is whole.
-    is_whole: bool
-    # Whole events that it holds.
+    # Whether the answer is complete.
+    is_complete: bool
+    # Number of complete events in the answer.
     events: int
-    # How often an instance began to work on it.
+    # Number of times that an instance began to run the request.
     runs: int
 
 
@@ -128,24 +129,24 @@
 
     async def case(fleet: Fleet) -> None:
         first, second = _engines(fleet)
-        # Load decides; with equal loads the first name is taken.
+        # The least loaded instance is chosen; at equal load, the first by name.
         if expected.fault:
             setattr(first.faults, expected.fault, 1)
-        seen = await _ask(fleet.entries[0], f"{expected.path}x")
-        assert seen.head is not None
-        assert seen.head.status == expected.status
-        assert seen.is_whole is expected.is_whole
+        received = await _request_stream(fleet.entries[0], f"{expected.path}x")
+        assert received.head is not None
+        assert received.head.status == expected.status
+        assert received.is_complete is expected.is_complete
         if expected.status == 200:
-            assert seen.body == _events(0, expected.events)
-            assert seen.head.field(names.SIGNATURE) == "sig-id-1"
+            assert received.body == _events(0, expected.events)
+            assert received.head.field(names.SIGNATURE) == "sig-id-1"
         assert first.runs["id-1"] + second.runs["id-1"] == expected.runs
         if name == "cut, resumable":
             assert second.resumed == {"id-1": 1}
 
-    _play(tmp_path, case)
+    _run_case(tmp_path, case)
 
 
-def test_events_are_passed_on_as_they_come(tmp_path: Path) -> None:
+def test_events_are_forwarded_as_they_arrive(tmp_path: Path) -> None:
     async def case(fleet: Fleet) -> None:
         for engine in _engines(fleet):
             engine.event_s = 1.0
@@ -161,30 +162,30 @@
         while sum(engine.running for engine in _engines(fleet)):
             await asyncio.sleep(0.02)
 
-    _play(tmp_path, case)
+    _run_case(tmp_path, case)
 
 
-def test_a_caller_that_has_the_first_events_gets_the_others(tmp_path: Path) -> None:
+def test_a_caller_with_a_last_event_id_gets_the_later_events(tmp_path: Path) -> None:
     async def case(fleet: Fleet) -> None:
         resumed = {names.LAST_EVENT_ID: "4"}
-        seen = await _ask(fleet.entries[0], f"{RESUMABLE}x", **resumed)
-        assert seen.is_whole
-        assert seen.body == _events(5, EVENTS)
+        received = await _request_stream(fleet.entries[0], f"{RESUMABLE}x", **resumed)
+        assert received.is_complete
+        assert received.body == _events(5, EVENTS)
 
-    _play(tmp_path, case)
+    _run_case(tmp_path, case)
 
 
-def test_a_stream_ends_at_its_routes_time(tmp_path: Path) -> None:
+def test_a_stream_ends_at_its_deadline(tmp_path: Path) -> None:
     async def case(fleet: Fleet) -> None:
         for engine in _engines(fleet):
             engine.event_s = 0.1
-        seen = await _ask(
+        received = await _request_stream(
             fleet.entries[0], f"{RESUMABLE}x", **{names.DEADLINE_MS: "350"}
         )
-        assert not seen.is_whole
-        assert seen.body != _events(0, EVENTS)
-        assert _events(0, EVENTS).startswith(seen.body)
+        assert not received.is_complete
+        assert received.body != _events(0, EVENTS)
+        assert _events(0, EVENTS).startswith(received.body)
         while sum(engine.running for engine in _engines(fleet)):
             await asyncio.sleep(0.02)
 
-    _play(tmp_path, case)
+    _run_case(tmp_path, case)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Short seeded soaks, and every seed that has failed; longer ones by hand."""
+"""Short soaks, and every seed that has failed; longer soaks are run by hand."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 _SENT = {
-    # name: (times sent, answers that promised it doesn't run, whether it was refused)
+    # name: (times sent, answers that promise no run, expected is_refused)
     "never sent": (0, 0, False),
     "refused once": (1, 1, True),
     "refused each time": (3, 3, True),
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("name", _SENT)
 def test_a_submission_is_refused_only_by_answers(name: str) -> None:
-    """Seed 102 beside load: a trainer was stopped in its call, and the job ran."""
+    """Under load, a trainer stopped in its call left a job that ran (seed 102)."""
     sent, refusals, is_refused = _SENT[name]
     step = Step("job", 1, sent=sent, refusals=refusals)
     assert step.is_refused is is_refused
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path as processes: steps, lookups, report, planned end."""
+"""The demo as processes: steps, lookups, report and planned stop."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def _processes_of(folder: Path) -> list[str]:
-    """Return the command lines that name a folder."""
+    """Return the command lines of processes, except the demo, that name a folder."""
     lines = []
     for entry in Path("/proc").glob("[0-9]*/cmdline"):
         try:
--- a/tests/without.py
+++ b/tests/without.py
@@ -1,8 +1,8 @@
-"""Takes one mechanism out of a copy of the tree and shows that its proof breaks.
+"""Removes mechanisms one by one in a copy of the tree and checks that tests fail.
 
 Run by hand: ``python -m tests.without [NAME ...]``. For each mechanism it copies the
 package and the tests, makes the edit, runs the named tests there and expects them to
-fail. Exit code 1 means that some proof passed without its mechanism.
+fail. Exit code 1 means that some mechanism's tests passed without it.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 
 @attrs.frozen
 class Mechanism:
-    """One mechanism and the tests that must miss it."""
+    """A mechanism and the tests that must fail without it."""
 
-    # Short name.
+    # Short name, for selection and output.
     name: str
-    # File, below the package.
+    # Path of the source file, relative to the package.
     path: str
-    # Text that is the mechanism.
+    # Source text that implements the mechanism.
     old: str
-    # Text without it.
+    # Source text that replaces ``old`` to remove the mechanism.
     new: str
-    # Tests that must fail, as pytest takes them.
+    # Tests that must fail, as pytest arguments.
     tests: tuple[str, ...]
 
 
@@ -175,14 +175,14 @@
         "decisions/_crash_quarantine.py",
         "return crashes >= QUARANTINE_CRASHES",
         "return False",
-        (f"{_CRASHES}::test_a_request_that_crashes_instances_is_not_sent_on_for_ever",),
+        (f"{_CRASHES}::test_a_request_that_crashes_instances_is_quarantined",),
     ),
     Mechanism(
         "crashes: entries share records through the store",
         "quarantine/_store_records.py",
         "if record is None or not record.is_unwritten:",
         "if True:",
-        (f"{_CRASHES}::test_entries_that_start_again_know_of_crashes",),
+        (f"{_CRASHES}::test_restarted_entries_know_of_crashes",),
     ),
     Mechanism(
         "crashes: entries broadcast crashes while the store is down",
@@ -202,7 +202,7 @@
 
 
 def _breaks(mechanism: Mechanism) -> bool:
-    """Return whether the proof fails without the mechanism."""
+    """Return whether the tests fail without the mechanism."""
     with tempfile.TemporaryDirectory(prefix="without-") as folder:
         copy = Path(folder)
         for name in ("pistachioglade", "tests", "soak", "deployments"):
@@ -223,7 +223,7 @@
 
 
 def main(names: list[str]) -> int:
-    """Try the mechanisms whose names hold one of ``names``; all by default."""
+    """Test the mechanisms whose names contain one of ``names``; all by default."""
     survivors = 0
     for mechanism in MECHANISMS:
         if names and not any(name in mechanism.name for name in names):
