--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -26,7 +26,7 @@
 def main(
     seeds: str, fresh: int, duration_s: float, entries: int, engines: int, keep: str
 ) -> None:
-    """Run seeds one after the other; exit 1 if any broke a promise."""
+    """Run seeds one after the other; exit with code 1 if any seed had a violation."""
     chosen = [int(text) for text in seeds.split(",") if text] or [
         secrets.randbelow(1_000_000) for _ in range(fresh)
     ]
--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -1,4 +1,4 @@
-"""Callers of a soak: lookups, billed calls, streams, probes of the configuration."""
+"""Callers of a soak: lookups, billed calls, streams and configuration probes."""
 
 from __future__ import annotations
 
@@ -18,45 +18,45 @@
 
 from ._world import EVENTS, Program, World
 
-#: Time for which a caller waits for an answer.
-_WAIT_S: Final = 4.0
-#: Pause between two calls of one caller.
+#: Time for which a caller waits for an answer, in seconds.
+_CALL_TIMEOUT_S: Final = 4.0
+#: Range of the pause between two calls of one caller, in seconds.
 _PAUSE_S: Final = (0.02, 0.15)
-#: Statuses that promise that a request has not run and never will.
-_PROMISES: Final = frozenset({408, 421, 429, 503})
-#: Versions of the configuration that a probe asks for.
-_PROBED: Final = 3
+#: Statuses that guarantee that the request has not run and will not run.
+_NOT_RUN_STATUSES: Final = frozenset({408, 421, 429, 503})
+#: Number of the newest configuration versions that a probe requests.
+_PROBED_VERSIONS: Final = 3
 
 
 @attrs.frozen
 class Asked:
-    """A request that was sent."""
+    """A request that was sent, with its outcome."""
 
-    # Its id.
+    # Request id.
     id: str
-    # Path that it went to.
+    # Path prefix of the request.
     path: str
-    # Status that came back; None if none did.
+    # Status of the answer; None if no answer came.
     status: int | None
 
 
 class Caller:
-    """Sends one request after the other, over connections that it keeps."""
+    """Sends one request after the other over pooled connections."""
 
     def __init__(self, world: World, name: str) -> None:
         self._world = world
         self._name = name
         self._numbers = count(1)
         self._pools: dict[str, Pool] = {}
-        # Requests whose fate is judged at the end.
+        # All requests sent; their runs are checked at the end.
         self.asked: list[Asked] = []
 
     async def run(self) -> None:
-        """Call until the world ends."""
+        """Send requests until cancelled."""
         rand = self._world.random
         while True:
             await self._call(
-                self._world.any_entry(), f"{self._name}-{next(self._numbers)}"
+                self._world.choose_entry(), f"{self._name}-{next(self._numbers)}"
             )
             await asyncio.sleep(rand.uniform(*_PAUSE_S))
 
@@ -69,22 +69,22 @@
         sent = (
             ("Host", HOST),
             (names.ATTEMPT_ID, request_id),
-            (names.DEADLINE_MS, str(int(_WAIT_S * 1000))),
+            (names.DEADLINE_MS, str(int(_CALL_TIMEOUT_S * 1000))),
         )
         status: int | None = None
         try:
-            answer = await pool.request("POST", f"{path}x", sent, body, _WAIT_S)
+            answer = await pool.request("POST", f"{path}x", sent, body, _CALL_TIMEOUT_S)
         except TimeoutError:
             self._world.counts["unanswered"] += 1
         else:
             if isinstance(answer, Response):
                 status = answer.status
-                self._judge(path, request_id, answer)
+                self._check_answer(path, request_id, answer)
             else:
                 self._world.counts["cut off"] += 1
         self.asked.append(Asked(request_id, path, status))
 
-    def _judge(self, path: str, request_id: str, answer: Response) -> None:
+    def _check_answer(self, path: str, request_id: str, answer: Response) -> None:
         world = self._world
         world.counts[f"{path} {answer.status}"] += 1
         what = f"{path} {request_id} at {answer.status}"
@@ -97,32 +97,34 @@
                 else answer.body == digest
             )
             if not is_whole:
-                world.violated(f"{what}: not its whole answer: {answer.body[:80]!r}")
+                world.record_violation(
+                    f"{what}: not its whole answer: {answer.body[:80]!r}"
+                )
             if answer.field(names.SIGNATURE) != f"sig-{request_id}":
-                world.violated(f"{what}: without its signature")
-        elif answer.status in _PROMISES:
+                world.record_violation(f"{what}: without its signature")
+        elif answer.status in _NOT_RUN_STATUSES:
             if answer.field("retry-after") is None:
-                world.violated(f"{what}: does not say when to come back")
+                world.record_violation(f"{what}: does not say when to come back")
         elif answer.status not in (500, 502, 504):
-            world.violated(f"{what}: denied")
+            world.record_violation(f"{what}: denied")
 
-    def check_fates(self) -> None:
-        """Judge what instances have seen of all requests, once nothing runs."""
+    def check_runs(self) -> None:
+        """Check the number of runs of each request, after all requests have ended."""
         world = self._world
         for asked in self.asked:
-            runs = world.runs(asked.id)
+            runs = world.count_runs(asked.id)
             what = f"{asked.path} {asked.id} answered {asked.status}"
             is_once = asked.path in ("/billed/", "/stream/")
             if is_once and runs > 1:
-                world.violated(f"{what}: ran {runs} times")
-            if asked.status in _PROMISES and is_once and runs:
-                world.violated(f"{what}: ran all the same")
+                world.record_violation(f"{what}: ran {runs} times")
+            if asked.status in _NOT_RUN_STATUSES and is_once and runs:
+                world.record_violation(f"{what}: ran all the same")
             if asked.status == 200 and not runs:
-                world.violated(f"{what}: never ran")
+                world.record_violation(f"{what}: never ran")
 
 
 def _is_whole_stream(request_id: str, body: bytes) -> bool:
-    """Whether a stream has each event once; weights may change within it."""
+    """Whether a stream has each event once; weight versions may change within it."""
     events = EventDecoder().feed(body)
     if events is None:
         return False
@@ -132,30 +134,30 @@
 
 
 class ConfigurationProbe:
-    """Asks each entry which version it serves; none may ever go back."""
+    """Probes which configuration version each entry serves; it must never decrease."""
 
     def __init__(self, world: World) -> None:
         self._world = world
-        # Newest version seen at each start of each entry.
+        # Newest version seen, by entry name and incarnation.
         self._seen: dict[tuple[str, int], int] = {}
 
     async def run(self) -> None:
-        """Probe until the world ends."""
+        """Probe entries until cancelled."""
         while True:
             await asyncio.sleep(0.2)
-            await self.probe(self._world.any_entry())
+            await self.probe(self._world.choose_entry())
 
     async def probe(self, program: Program) -> int:
-        """Return the newest version that an entry serves; 0 if it didn't say."""
+        """Return the newest version that an entry serves; 0 if none was confirmed."""
         incarnation = (program.process.name, program.incarnation)
         before = self._seen.get(incarnation, 0)
         served = 0
         newest = self._world.configuration
-        for version in range(max(1, newest - _PROBED), newest + 1):
+        for version in range(max(1, newest - _PROBED_VERSIONS), newest + 1):
             if await self._is_served(program, version):
                 served = version
                 if version < before and incarnation[1] == program.incarnation:
-                    self._world.violated(
+                    self._world.record_violation(
                         f"{incarnation} serves version {version} after {before}"
                     )
         if incarnation[1] == program.incarnation:
--- a/soak/_crashes.py
+++ b/soak/_crashes.py
@@ -17,21 +17,21 @@
 
 from ._world import World
 
-#: Time for which a request is repeated; has to exceed the grace period.
+#: Time for which a request is repeated, in seconds; must exceed the grace period.
 _REPEAT_S: Final = 8.0
-#: Pause between two attempts of a request.
+#: Range of the pause between two attempts of a request, in seconds.
 _ATTEMPT_PAUSE_S: Final = (0.05, 0.4)
-#: Pause before the first attempt of each request.
+#: Range of the pause before the first attempt of a request, in seconds.
 _REQUEST_PAUSE_S: Final = (0.5, 2.0)
-#: Time for which the caller waits for an answer.
-_WAIT_S: Final = 2.0
+#: Time for which the caller waits for an answer, in seconds.
+_CALL_TIMEOUT_S: Final = 2.0
 #: Grace period after the third crash, and after a disturbance of an entry or the store,
-#: in which attempts aren't counted.
+#: in which attempts aren't counted, in seconds.
 _GRACE_S: Final = 3.0
-#: Crashes after which a request has to be quarantined.
+#: Number of crashes after which a request must be quarantined.
 _QUARANTINE_CRASHES: Final = 3
-#: Most attempts that may reach instances after the grace period.
-_MOST_LATE_ATTEMPTS: Final = 3
+#: Maximum number of attempts that may reach instances after the grace period.
+_MAX_LATE_ATTEMPTS: Final = 3
 
 
 @attrs.frozen
@@ -42,7 +42,7 @@
     id: str
     # Path, unique to the request.
     path: str
-    # Name of the entry that it was sent to.
+    # Name of the entry that the attempt was sent to.
     entry: str
     # Send time, in seconds of the monotonic clock.
     sent_s: float
@@ -77,11 +77,11 @@
         sent = (
             ("Host", HOST),
             (names.ATTEMPT_ID, request_id),
-            (names.DEADLINE_MS, str(int(_WAIT_S * 1000))),
+            (names.DEADLINE_MS, str(int(_CALL_TIMEOUT_S * 1000))),
         )
         pool = Pool("127.0.0.1", process.port)
         try:
-            answer = await pool.request("POST", path, sent, b"crash", _WAIT_S)
+            answer = await pool.request("POST", path, sent, b"crash", _CALL_TIMEOUT_S)
         except TimeoutError:
             return
         finally:
@@ -89,7 +89,7 @@
         if isinstance(answer, Response):
             world.counts[f"crash {answer.status}"] += 1
             if answer.status == 200:
-                world.violated(
+                world.record_violation(
                     f"{path} {request_id}: answered, but every instance crashes on it"
                 )
 
@@ -105,7 +105,7 @@
                 )
 
     def _crashed_by(self, instance: FleetInstance) -> Attempt:
-        """Return the attempt that crashed an instance: the first that it ran."""
+        """Return the attempt that crashed an instance: the first that it began."""
         begun_s = instance.begun_s
         ran = (attempt for attempt in self._attempts if attempt.id in begun_s)
         return min(ran, key=lambda attempt: begun_s[attempt.id])
@@ -116,13 +116,13 @@
             for attempt in self._attempts
             if attempt.path == path and self._counts_as_late(attempt, grace_end_s)
         ]
-        if len(late) > _MOST_LATE_ATTEMPTS:
-            self._world.violated(
+        if len(late) > _MAX_LATE_ATTEMPTS:
+            self._world.record_violation(
                 f"{path}: {len(late)} attempts ran after {grace_end_s:.2f} s: {late}"
             )
 
     def _counts_as_late(self, attempt: Attempt, grace_end_s: float) -> bool:
-        """Whether it ran after the grace period, through an undisturbed entry."""
+        """Whether an attempt ran after the grace period via an undisturbed entry."""
         begun_s = (
             instance.begun_s.get(attempt.id, 0.0)
             for instance in self._world.fleet.instances
--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -1,4 +1,4 @@
-"""Faults of a soak: each is brought about from outside a process, and heals."""
+"""Faults of a soak: each is injected from outside the processes and then ended."""
 
 from __future__ import annotations
 
@@ -13,14 +13,16 @@
 from ._relay import Relay, RelayMode
 from ._world import STORE, Program, World
 
-#: Time that a fault lasts, in seconds; promises with a bound allow for 3 s.
-_LASTS_S: Final = (0.3, 4.0)
-#: Instance faults that a fault scripts, and how many requests each may meet.
-_SCRIPTS: Final = ("silent", "cut", "wrong_id", "refused", "failed", "unsigned")
-_MOST_SCRIPTED: Final = 6
-#: Time in which an interpreter has reached a program's first line, on any machine.
-_INTERPRETER_S: Final = 5.0
-_MASK_PAUSE_S: Final = 0.005
+#: Range of a fault's duration, in seconds; guarantees with a time limit allow for 3 s.
+_DURATION_S: Final = (0.3, 4.0)
+#: Instance faults that ``Script`` can set, and the maximum of affected requests.
+_INSTANCE_FAULTS: Final = ("silent", "cut", "wrong_id", "refused", "failed", "unsigned")
+_MAX_FAULTY_REQUESTS: Final = 6
+#: Time in which an interpreter reaches a program's first line on any machine, in
+#: seconds.
+_INTERPRETER_START_S: Final = 5.0
+#: Pause between two reads of a process's signal masks, in seconds.
+_MASK_POLL_S: Final = 0.005
 
 
 @attrs.frozen
@@ -29,48 +31,48 @@
 
     # Name of the process.
     name: str
-    # The signal.
+    # Signal that is sent.
     number: signal.Signals
-    # Time until a stopped process goes on.
+    # Time until SIGCONT, in seconds.
     for_s: float
 
 
 @attrs.frozen
 class KillAll:
-    """All entries die at the same moment."""
+    """All entries are killed at the same moment."""
 
 
 @attrs.frozen
 class StorePath:
-    """The way between one process and the store misbehaves."""
+    """The relay between one process and the store is disturbed."""
 
     # Name of the process.
     name: str
-    # How.
+    # Mode of the relay during the fault.
     mode: RelayMode
-    # For how long.
+    # Duration, in seconds.
     for_s: float
 
 
 @attrs.frozen
 class InstancePath:
-    """The way to one instance misbehaves."""
+    """The relay before one instance is disturbed."""
 
-    # Place of the instance among all.
+    # Index of the instance among all, modulo their number.
     number: int
-    # How.
+    # Mode of the relay during the fault.
     mode: RelayMode
-    # For how long.
+    # Duration, in seconds.
     for_s: float
 
 
 @attrs.frozen
 class StoreFault:
-    """The store is away, silent, loses answers or forgets its history."""
+    """The store is down, silent, loses answers or drops its change history."""
 
-    # Which.
+    # Kind: "down", "silent", "lost" or "forget".
     how: str
-    # For how long.
+    # Duration, in seconds.
     for_s: float
 
 
@@ -78,25 +80,25 @@
 class Script:
     """An instance answers some of the next requests wrongly."""
 
-    # Place of the instance among all.
+    # Index of the instance among all, modulo their number.
     number: int
-    # Which fault.
+    # Name of the instance fault.
     how: str
-    # How many requests meet it.
+    # Number of requests that the fault affects.
     requests: int
 
 
 @attrs.frozen
 class Replace:
-    """An instance announces that it leaves; another one comes."""
+    """An instance announces that it leaves; a new instance replaces it."""
 
-    # Upstream.
+    # Upstream of the instance.
     upstream: str
 
 
 @attrs.frozen
 class Reload:
-    """A process hears that its settings have changed."""
+    """A process gets SIGHUP, which tells it to read its settings again."""
 
     # Name of the process.
     name: str
@@ -107,12 +109,12 @@
 )
 
 
-def draw(world: World) -> Fault:
-    """Draw a fault."""
+def draw_fault(world: World) -> Fault:
+    """Return a random fault."""
     rand = world.random
     name = rand.choice([*world.entries, *world.engines])
     entry = rand.choice(list(world.entries))
-    for_s = rand.uniform(*_LASTS_S)
+    for_s = rand.uniform(*_DURATION_S)
     number = rand.randrange(1000)
     modes = [mode for mode in RelayMode if mode is not RelayMode.OPEN]
     return rand.choice(
@@ -123,7 +125,11 @@
             StorePath(name, rand.choice(modes), for_s),
             InstancePath(number, rand.choice(modes), for_s),
             StoreFault(rand.choice(["down", "silent", "lost", "forget"]), for_s),
-            Script(number, rand.choice(_SCRIPTS), rand.randint(1, _MOST_SCRIPTED)),
+            Script(
+                number,
+                rand.choice(_INSTANCE_FAULTS),
+                rand.randint(1, _MAX_FAULTY_REQUESTS),
+            ),
             Replace(rand.choice(["app", "lm"])),
             Reload(name),
             *([KillAll()] if rand.random() < 0.3 else []),
@@ -135,8 +141,8 @@
     return world.entries.get(name) or world.engines[name]
 
 
-def _covers_hangup(pid: int) -> bool:
-    """Whether a process ignores or handles SIGHUP by now, as its masks tell."""
+def _handles_hangup(pid: int) -> bool:
+    """Whether the signal masks of a process show that it ignores or handles SIGHUP."""
     try:
         lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     except OSError:
@@ -147,12 +153,12 @@
 
 
 @singledispatch
-async def play(fault: Any, world: World) -> None:
-    """Bring a fault about, and let it heal."""
+async def inject_fault(fault: Any, world: World) -> None:
+    """Inject a fault; return when it has ended."""
     raise TypeError(f"no fault: {fault!r}")
 
 
-@play.register
+@inject_fault.register
 async def _(fault: Signal, world: World) -> None:
     program = _program(world, fault.name)
     process = program.process.process
@@ -170,11 +176,11 @@
         process.send_signal(signal.SIGCONT)
     program.is_frozen = False
     ended_s = asyncio.get_running_loop().time()
-    world.held_up.append((fault.name, begun_s, ended_s))
+    world.delays.append((fault.name, begun_s, ended_s))
     world.disturbances.append((fault.name, begun_s, ended_s))
 
 
-@play.register
+@inject_fault.register
 async def _(fault: KillAll, world: World) -> None:
     for program in world.entries.values():
         process = program.process.process
@@ -183,38 +189,38 @@
             process.send_signal(signal.SIGKILL)
 
 
-async def _bend(relay: Relay, mode: RelayMode, for_s: float) -> None:
+async def _disturb_relay(relay: Relay, mode: RelayMode, for_s: float) -> None:
     relay.set_mode(mode)
     await asyncio.sleep(for_s)
     relay.set_mode(RelayMode.OPEN)
 
 
-@play.register
+@inject_fault.register
 async def _(fault: StorePath, world: World) -> None:
     begun_s = asyncio.get_running_loop().time()
-    await _bend(_program(world, fault.name).store, fault.mode, fault.for_s)
+    await _disturb_relay(_program(world, fault.name).store, fault.mode, fault.for_s)
     ended_s = asyncio.get_running_loop().time()
     world.disturbances.append((fault.name, begun_s, ended_s))
 
 
-@play.register
+@inject_fault.register
 async def _(fault: InstancePath, world: World) -> None:
     instances = list(world.instance_relays)
-    bent = instances[fault.number % len(instances)]
+    disturbed = instances[fault.number % len(instances)]
     begun_s = asyncio.get_running_loop().time()
-    await _bend(world.instance_relays[bent], fault.mode, fault.for_s)
-    world.held_up.append((bent, begun_s, asyncio.get_running_loop().time()))
+    await _disturb_relay(world.instance_relays[disturbed], fault.mode, fault.for_s)
+    world.delays.append((disturbed, begun_s, asyncio.get_running_loop().time()))
 
 
-@play.register
+@inject_fault.register
 async def _(fault: StoreFault, world: World) -> None:
     begun_s = asyncio.get_running_loop().time()
-    await _play_store_fault(fault, world)
+    await _inject_store_fault(fault, world)
     ended_s = asyncio.get_running_loop().time()
     world.disturbances.append((STORE, begun_s, ended_s))
 
 
-async def _play_store_fault(fault: StoreFault, world: World) -> None:
+async def _inject_store_fault(fault: StoreFault, world: World) -> None:
     faults = world.store.standin.faults
     match fault.how:
         case "down":
@@ -231,16 +237,16 @@
             world.store.standin._forget_history()
 
 
-@play.register
+@inject_fault.register
 async def _(fault: Script, world: World) -> None:
     instances = world.fleet.instances
     chosen = instances[fault.number % len(instances)]
     setattr(chosen.faults, fault.how, fault.requests)
 
 
-@play.register
+@inject_fault.register
 async def _(fault: Replace, world: World) -> None:
-    live = world.live(fault.upstream)
+    live = world.live_instances(fault.upstream)
     if not live:
         return
     leaving = world.random.choice(live)
@@ -249,22 +255,22 @@
         program.process.settings.read_text().endswith(f"app=127.0.0.1:{port}\n")
         for program in world.engines.values()
     )
-    if has_program or len(world.live(fault.upstream)) > 4:
+    if has_program or len(world.live_instances(fault.upstream)) > 4:
         return
     await world.add_instance(fault.upstream)
     leaving.is_leaving = True
-    await world.list_instance(leaving)
+    await world.register_instance(leaving)
 
 
-@play.register
+@inject_fault.register
 async def _(fault: Reload, world: World) -> None:
     program = _program(world, fault.name)
     process = program.process.process
-    # Before a program's first line the signal still ends the process; that part of
-    # the interpreter's start is nobody's to cover, and as long as the machine makes it.
+    # Before the first line of the program, SIGHUP ends the process. No program can
+    # prevent this during the interpreter's start, whose duration varies by machine.
     while process is not None and process.returncode is None:
         age_s = asyncio.get_running_loop().time() - program.begun_s
-        if _covers_hangup(process.pid) or age_s > _INTERPRETER_S:
+        if _handles_hangup(process.pid) or age_s > _INTERPRETER_START_S:
             process.send_signal(signal.SIGHUP)
             return
-        await asyncio.sleep(_MASK_PAUSE_S)
+        await asyncio.sleep(_MASK_POLL_S)
--- a/soak/_relay.py
+++ b/soak/_relay.py
@@ -1,4 +1,4 @@
-"""A loopback relay that delays, resets, refuses, silences or cuts one way."""
+"""A loopback relay that can delay, reset, refuse or block its connections."""
 
 from __future__ import annotations
 
@@ -9,21 +9,22 @@
 
 
 class RelayMode(Enum):
-    """What a relay does with what it carries."""
+    """What a relay does with its connections and their data."""
 
+    # Data pass unchanged.
     OPEN = "open"
-    # Each part comes later.
+    # Each chunk is delayed.
     DELAY = "delay"
-    # Open connections are reset, new ones too.
+    # Open and new connections are reset.
     RESET = "reset"
-    # Connections stay open and carry nothing, in either direction.
+    # Connections stay open, but no data pass in either direction.
     SILENT = "silent"
-    # Requests go through, answers don't.
+    # Requests pass, answers don't.
     ONE_WAY = "one-way"
 
 
 class Relay:
-    """Carries connections to one port."""
+    """Forwards connections from a loopback port to a target port."""
 
     def __init__(self, target_port: int, delay_s: float = 0.15) -> None:
         self.target_port = target_port
@@ -36,12 +37,14 @@
 
     async def start(self) -> int:
         """Listen on a free port and return it."""
-        self._server = await asyncio.start_server(self._carry, "127.0.0.1", 0)
+        self._server = await asyncio.start_server(
+            self._forward_connection, "127.0.0.1", 0
+        )
         self.port = self._server.sockets[0].getsockname()[1]
         return self.port
 
     def set_mode(self, mode: RelayMode) -> None:
-        """Change what happens from now on."""
+        """Change the mode for open and new connections."""
         self._mode = mode
         self._changed.set()
         self._changed = asyncio.Event()
@@ -54,12 +57,12 @@
             writer.transport.abort()
 
     def stop(self) -> None:
-        """End the relay and all that it carries."""
+        """Stop listening and reset every connection."""
         if self._server is not None:
             self._server.close()
         self.reset()
 
-    async def _carry(
+    async def _forward_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         if self._mode is RelayMode.RESET:
@@ -81,7 +84,7 @@
         finally:
             self._writers -= {writer, far_writer}
 
-    def _holds(self, is_answer: bool) -> bool:
+    def _is_blocked(self, is_answer: bool) -> bool:
         if self._mode is RelayMode.SILENT:
             return True
         return is_answer and self._mode is RelayMode.ONE_WAY
@@ -94,14 +97,14 @@
     ) -> None:
         try:
             while data := await reader.read(_CHUNK_BYTES):
-                while self._holds(is_answer):
+                while self._is_blocked(is_answer):
                     await self._changed.wait()
                 if self._mode is RelayMode.DELAY:
                     await asyncio.sleep(self._delay_s)
                 writer.write(data)
                 await writer.drain()
         except OSError:
-            # The other pump of the pair meets the same end.
+            # The other pump of the pair then fails as well.
             writer.transport.abort()
         finally:
             writer.close()
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -1,4 +1,4 @@
-"""One seed's run: build, disturb, heal, judge."""
+"""The run of one seed: start, inject faults, wait for recovery, check."""
 
 from __future__ import annotations
 
@@ -13,74 +13,74 @@
 
 from ._callers import Caller, ConfigurationProbe
 from ._crashes import CrashingCaller
-from ._faults import draw, play
+from ._faults import draw_fault, inject_fault
 from ._trainers import Trainer
 from ._world import World, soak_configuration
 
-#: Least time between the orders of two holders to one engine.
-_LEASE_S: Final = 3.0
-#: Time behind a freeze of a program or a fault of an engine's link in which an order
-#: may arrive that was sent before it.
-_HELD_UP_S: Final = 0.5
-#: Time between two faults, in seconds; they last up to four, so that they overlap.
-_GAP_S: Final = (0.2, 1.5)
-#: Time between two versions of the configuration.
-_CONFIGURE_S: Final = (1.5, 5.0)
-#: Time for everything to be well again after the last fault: a silent link is noticed
-#: after 3 s, and the longest retry pauses are 3 s.
+#: Minimum time between orders of two lease holders to one engine, in seconds.
+_MIN_HOLDER_CHANGE_S: Final = 3.0
+#: Time after a freeze of a program or a fault of an engine's relay in which an order
+#: that was sent before may still arrive, in seconds.
+_DELAY_MARGIN_S: Final = 0.5
+#: Range of the time between two faults, in seconds. Faults last up to 4 s and overlap.
+_FAULT_INTERVAL_S: Final = (0.2, 1.5)
+#: Range of the time between two versions of the configuration, in seconds.
+_CONFIGURATION_INTERVAL_S: Final = (1.5, 5.0)
+#: Time for recovery after the last fault, in seconds: a silent link is detected after
+#: 3 s, and the longest retry pauses are 3 s.
 _SETTLE_S: Final = 8.0
-#: Time within which the checks behind a run have to end.
-_JUDGE_S: Final = 60.0
+#: Time limit of the checks at the end of a run, in seconds.
+_CHECK_TIMEOUT_S: Final = 60.0
 
 
 @attrs.frozen
 class Sizes:
-    """How many of everything."""
+    """Numbers of processes, instances and users in a run."""
 
-    # Entries.
+    # Number of entries.
     entries: int = 3
-    # Engines, each with its program.
+    # Number of engines, each with an engine program.
     engines: int = 2
-    # Instances of the plain service.
+    # Number of instances of the plain service.
     plain: int = 3
-    # Callers.
+    # Number of callers.
     callers: int = 4
-    # Trainers.
+    # Number of trainers.
     trainers: int = 2
 
 
 @attrs.frozen
 class Outcome:
-    """What came of a seed."""
+    """Result of one seed."""
 
     # The seed.
     seed: int
-    # Faults by kind.
+    # Number of injected faults by kind.
     faults: dict[str, int]
-    # What callers and trainers met.
+    # Numbers of events that callers and trainers observed, by kind.
     counts: dict[str, int]
-    # Broken promises.
+    # Violated guarantees.
     violations: tuple[str, ...]
 
 
 class SoakRun:
-    """A world, its users and its faults."""
+    """Runs the users of a world, injects faults and checks the guarantees."""
 
     def __init__(self, world: World, sizes: Sizes, seed: int) -> None:
         self._world = world
         self._crashing_caller = CrashingCaller(world, seed)
         self._sizes = sizes
-        self._callers = [Caller(world, f"c{place}") for place in range(sizes.callers)]
+        self._callers = [Caller(world, f"c{number}") for number in range(sizes.callers)]
         self._trainers = [
-            Trainer(world, f"t{place}") for place in range(sizes.trainers)
+            Trainer(world, f"t{number}") for number in range(sizes.trainers)
         ]
         self._probe = ConfigurationProbe(world)
         self._faults: dict[str, int] = {}
 
     async def run(self, duration_s: float) -> None:
-        """Disturb for a while, then judge."""
+        """Inject faults for some time, then wait for recovery and check."""
         world, sizes = self._world, self._sizes
-        await world.build(sizes.entries, sizes.engines, sizes.plain)
+        await world.start_all(sizes.entries, sizes.engines, sizes.plain)
         users = [
             world.spawn(user.run())
             for user in (
@@ -90,42 +90,42 @@
                 self._crashing_caller,
             )
         ]
-        operator = world.spawn(self._configure())
-        await self._disturb(duration_s)
+        operator = world.spawn(self._change_configuration())
+        await self._inject_faults(duration_s)
         operator.cancel()
         world.healed_s = asyncio.get_running_loop().time()
         await asyncio.sleep(_SETTLE_S)
         for user in users:
             user.cancel()
         await asyncio.sleep(0)
-        async with asyncio.timeout(_JUDGE_S):
-            await self._judge()
+        async with asyncio.timeout(_CHECK_TIMEOUT_S):
+            await self._check()
 
-    async def _configure(self) -> None:
+    async def _change_configuration(self) -> None:
         world = self._world
         while True:
-            await asyncio.sleep(world.random.uniform(*_CONFIGURE_S))
-            # A write that the store doesn't answer may still be in force later.
+            await asyncio.sleep(world.random.uniform(*_CONFIGURATION_INTERVAL_S))
+            # A write without an answer from the store may still take effect later.
             world.configuration += 1
             await world.fleet.configure(soak_configuration(world.configuration))
 
-    async def _disturb(self, duration_s: float) -> None:
+    async def _inject_faults(self, duration_s: float) -> None:
         world = self._world
         until_s = asyncio.get_running_loop().time() + duration_s
-        playing = []
+        injections = []
         while asyncio.get_running_loop().time() < until_s:
-            fault = draw(world)
+            fault = draw_fault(world)
             kind = type(fault).__name__
             self._faults[kind] = self._faults.get(kind, 0) + 1
-            playing.append(world.spawn(play(fault, world)))
-            await asyncio.sleep(world.random.uniform(*_GAP_S))
-        await asyncio.gather(*playing)
+            injections.append(world.spawn(inject_fault(fault, world)))
+            await asyncio.sleep(world.random.uniform(*_FAULT_INTERVAL_S))
+        await asyncio.gather(*injections)
         for instance in world.fleet.instances:
             instance.faults = type(instance.faults)()
         world.store.dropped_answers = 0
 
-    async def _judge(self) -> None:
-        """Check what must hold once all is well again."""
+    async def _check(self) -> None:
+        """Check the guarantees that hold after all faults have ended."""
         world = self._world
         for program in world.entries.values():
             while not await program.process.is_ready():
@@ -135,61 +135,64 @@
         for program in world.entries.values():
             served = await self._probe.probe(program)
             if served != world.configuration:
-                world.violated(
+                world.record_violation(
                     f"{program.process.name} serves version {served} at the end, "
                     f"not {world.configuration}"
                 )
         for trainer in self._trainers:
             last = await trainer.step()
             if not last.is_accepted or len(last.results) < 6:
-                world.violated(f"{last.id}: not whole though all is well")
+                world.record_violation(f"{last.id}: not whole though all is well")
         for trainer in self._trainers:
             await trainer.check_all()
         for caller in self._callers:
-            caller.check_fates()
+            caller.check_runs()
         self._crashing_caller.check_late_attempts()
         self._check_orders()
 
     def _check_orders(self) -> None:
-        """Check that holders of an engine's orders take turns, each with its fence."""
+        """Check that holders' orders don't overlap and that fencing tokens rise."""
         for instance in self._world.fleet.instances:
             orders = zip(instance.orders, instance.orders_s, strict=True)
             for (earlier, earlier_s), (later, later_s) in pairwise(orders):
-                if self._is_held_up(instance.id, later["holder"], later_s):
+                if self._may_be_delayed(instance.id, later["holder"], later_s):
                     continue
                 if later["fencing-token"] < earlier["fencing-token"]:
-                    self._world.violated(f"{instance.id}: {later} behind {earlier}")
+                    self._world.record_violation(
+                        f"{instance.id}: {later} behind {earlier}"
+                    )
                 if later["holder"] == earlier["holder"]:
                     continue
                 is_fenced = later["fencing-token"] > earlier["fencing-token"]
-                if not is_fenced or later_s - earlier_s < _LEASE_S:
+                if not is_fenced or later_s - earlier_s < _MIN_HOLDER_CHANGE_S:
                     passed_s = round(later_s - earlier_s, 3)
-                    self._world.violated(
+                    self._world.record_violation(
                         f"{instance.id}: {later} {passed_s} s behind {earlier}"
                     )
 
-    def _is_held_up(self, instance_id: str, holder: str, at_s: float) -> bool:
-        """Whether an order may have been sent long before it came."""
+    def _may_be_delayed(self, instance_id: str, holder: str, at_s: float) -> bool:
+        """Whether a disturbance may have delayed an order after it was sent."""
         return any(
-            name in (instance_id, holder) and begun_s <= at_s <= ended_s + _HELD_UP_S
-            for name, begun_s, ended_s in self._world.held_up
+            name in (instance_id, holder)
+            and begun_s <= at_s <= ended_s + _DELAY_MARGIN_S
+            for name, begun_s, ended_s in self._world.delays
         )
 
     def outcome(self, seed: int) -> Outcome:
-        """Return what came of it."""
+        """Return the outcome of the run."""
         world = self._world
         return Outcome(seed, self._faults, dict(world.counts), tuple(world.violations))
 
 
 async def soak(seed: int, duration_s: float, folder: Path, sizes: Sizes) -> Outcome:
-    """Run one seed; every process that it starts has ended when it returns."""
+    """Run one seed; every process that the run starts has ended on return."""
     async with served_store() as store:
         world = World(store, folder, seed)
         run = SoakRun(world, sizes, seed)
         try:
             await run.run(duration_s)
         except TimeoutError:
-            world.violated("not well again in time")
+            world.record_violation("not well again in time")
         finally:
             await world.stop()
         return run.outcome(seed)
--- a/soak/_world.py
+++ b/soak/_world.py
@@ -1,4 +1,4 @@
-"""The processes of a soak, the stand-ins around them, and the promises they keep."""
+"""The processes and stand-ins of a soak, and the record of violated guarantees."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from pistachioglade.platform import names
 from pistachioglade.standins._fleet_instance import FleetInstance
 from pistachioglade.store.tests.served import ServedStore
-from tests.serving import EntryProcess, Fleet, configuration
+from tests.serving import Fleet, ServingProcess, configuration
 
 from ._relay import Relay
 
@@ -21,15 +21,15 @@
 MODEL: Final = "m"
 #: Name of the store in ``World.disturbances``.
 STORE: Final = "store"
-#: Events of a sample, and the time of one: a sample runs for 0.7 s.
+#: Events of a sample and seconds per event: a sample runs for 0.7 s.
 EVENTS: Final = 35
 EVENT_S: Final = 0.02
-#: Pause before a process that has ended starts again.
-_RESTART_S: Final = 0.4
-#: Pause before a crashed instance is replaced.
-_REPLACE_S: Final = 0.8
-#: Time between two looks at processes and instances.
-_LOOK_S: Final = 0.1
+#: Delay before a process that has exited is restarted, in seconds.
+_RESTART_DELAY_S: Final = 0.4
+#: Delay before a crashed instance is replaced, in seconds.
+_REPLACEMENT_DELAY_S: Final = 0.8
+#: Interval at which processes and instances are polled, in seconds.
+_POLL_INTERVAL_S: Final = 0.1
 
 
 def _now_s() -> float:
@@ -53,64 +53,65 @@
 
 @attrs.define
 class Program:
-    """A process and its way to the store."""
+    """A process and its relay to the store."""
 
     # The process.
-    process: EntryProcess
-    # Relay between it and the store.
+    process: ServingProcess
+    # Relay between the process and the store.
     store: Relay
-    # When it was started last, in seconds of the monotonic clock.
+    # Monotonic time of the last start, in seconds.
     begun_s: float
-    # Counts its starts.
+    # Number of starts.
     incarnation: int = 1
-    # Whether this soak has just ended it.
+    # Whether the soak has sent a signal that ends the process.
     is_ended_by_us: bool = False
-    # Whether it stands still.
+    # Whether the process is frozen by SIGSTOP.
     is_frozen: bool = False
 
 
 class World:
-    """Everything that a seed's run consists of."""
+    """Processes, instances, store and records of the run of one seed."""
 
     def __init__(self, store: ServedStore, folder: Path, seed: int) -> None:
         self.random = random.Random(seed)
         self.fleet = Fleet(store, folder)
         self.store = store
-        # Entries and the programs beside engines, by name.
+        # Entries and engine programs, by name.
         self.entries: dict[str, Program] = {}
         self.engines: dict[str, Program] = {}
-        # Relays before instances, by the instance's id.
+        # Relays before instances, by instance id.
         self.instance_relays: dict[str, Relay] = {}
         # Newest configuration and weight version that the store has acknowledged.
         self.configuration = 1
         self.named_version = 1
-        # Newest weight version that a trainer ever sent, acknowledged or not.
+        # Newest weight version that a trainer has sent, acknowledged or not.
         self.sent_version = 1
-        # When the last fault had healed, in seconds of the monotonic clock.
+        # Monotonic time at which the last fault had ended, in seconds.
         self.healed_s = float("inf")
         # Paths of requests that crash instances of the plain service.
         self.crash_paths: set[str] = set()
         # Crashed instances and when they crashed, in seconds of the monotonic clock.
         self.crashes: list[tuple[FleetInstance, float]] = []
-        # Disturbances of programs and the store: name, begin and end.
+        # Disturbances of programs and the store: name, begin and end in seconds.
         self.disturbances: list[tuple[str, float, float]] = []
-        # Programs that were frozen and instances whose links were bent, from and to.
-        self.held_up: list[tuple[str, float, float]] = []
-        # Broken promises, in words.
+        # Freezes of programs and disturbances of instances' relays, which delay orders:
+        # name, begin and end in seconds.
+        self.delays: list[tuple[str, float, float]] = []
+        # Descriptions of violated guarantees.
         self.violations: list[str] = []
-        # What happened, by kind.
+        # Numbers of events by kind.
         self.counts: Counter[str] = Counter()
         self._numbers = 0
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def violated(self, what: str) -> None:
-        """Note a broken promise."""
+    def record_violation(self, what: str) -> None:
+        """Record the description of a violated guarantee."""
         self.violations.append(what)
 
-    # Building.
+    # Start of processes and instances.
 
     async def add_instance(self, upstream: str) -> FleetInstance:
-        """Add an instance behind a relay of its own."""
+        """Start and register an instance behind a new relay."""
         self._numbers += 1
         models = (MODEL,) if upstream == "lm" else ()
         instance = FleetInstance(
@@ -120,17 +121,17 @@
             instance.versions[model] = self.named_version
         if upstream == "app":
             instance.crash_paths = self.crash_paths
-            instance.on_crash = lambda: self._crashed(instance)
+            instance.on_crash = lambda: self._handle_crash(instance)
         await instance.start()
         relay = Relay(instance.port)
         await relay.start()
         self.instance_relays[instance.id] = relay
         self.fleet.instances.append(instance)
-        await self.list_instance(instance)
+        await self.register_instance(instance)
         return instance
 
-    async def list_instance(self, instance: FleetInstance) -> None:
-        """Write an instance's entry, by the address of its relay."""
+    async def register_instance(self, instance: FleetInstance) -> None:
+        """Write an instance's entry with the address of its relay."""
         port = self.instance_relays[instance.id].port
         value = instance.entry() | {"address": f"127.0.0.1:{port}"}
         client = self.store.client()
@@ -138,7 +139,7 @@
         if getattr(made, "value", value) != value:
             await client.replace(names.INSTANCE_KIND, instance.id, value, None)
 
-    def _crashed(self, instance: FleetInstance) -> None:
+    def _handle_crash(self, instance: FleetInstance) -> None:
         """Record the crash of an instance and schedule its replacement."""
         self.crashes.append((instance, _now_s()))
         self.counts["crash"] += 1
@@ -147,10 +148,10 @@
         self.spawn(self._replace(instance))
 
     async def _replace(self, instance: FleetInstance) -> None:
-        await asyncio.sleep(_REPLACE_S)
+        await asyncio.sleep(_REPLACEMENT_DELAY_S)
         client = self.store.client()
         while await client.delete(names.INSTANCE_KIND, instance.id) is not None:
-            await asyncio.sleep(_LOOK_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
         await self.add_instance(instance.upstream)
 
     async def _relay_to_store(self) -> Relay:
@@ -158,8 +159,8 @@
         await relay.start()
         return relay
 
-    async def build(self, entries: int, engines: int, plain: int) -> None:
-        """Start everything."""
+    async def start_all(self, entries: int, engines: int, plain: int) -> None:
+        """Start the instances, the programs and the background tasks."""
         await self.fleet.configure(soak_configuration(1))
         for _ in range(plain):
             await self.add_instance("app")
@@ -167,7 +168,8 @@
             engine = await self.add_instance("lm")
             relay = await self._relay_to_store()
             name = f"engine-{number}"
-            # By the address in the list, at which the program looks for its engine.
+            # The program finds its engine by the address in the instance list, which is
+            # that of the relay.
             port = self.instance_relays[engine.id].port
             process = await self.fleet.add_engine_program(name, port, relay.port)
             self.engines[name] = Program(process, relay, _now_s())
@@ -176,85 +178,87 @@
             process = await self.fleet.add_entry(f"entry-{number}", relay.port)
             self.entries[process.name] = Program(process, relay, _now_s())
         self.spawn(self._supervise())
-        self.spawn(self._heartbeats())
+        self.spawn(self._update_instance_entries())
 
     def spawn(self, work: Any) -> asyncio.Task[None]:
-        """Run work that lasts as long as the world."""
+        """Run a coroutine as a task that ``stop`` cancels."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._handle_task_end)
         return task
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _handle_task_end(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self.violated(f"the soak itself failed: {task.exception()!r}")
+            self.record_violation(f"the soak itself failed: {task.exception()!r}")
 
-    # What the platform does.
+    # Work of the platform.
 
     async def _supervise(self) -> None:
-        """Start processes again that have ended; none may end by itself."""
+        """Restart exited processes; an exit that no signal caused is a violation."""
         while True:
-            await asyncio.sleep(_LOOK_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
             for name, program in (*self.entries.items(), *self.engines.items()):
                 process = program.process.process
                 if process is None or process.returncode is None:
                     continue
                 if not program.is_ended_by_us:
-                    self.violated(f"{name} ended by itself: {process.returncode}")
+                    self.record_violation(
+                        f"{name} ended by itself: {process.returncode}"
+                    )
                 program.is_ended_by_us = False
                 program.is_frozen = False
                 ended_s = _now_s()
-                await asyncio.sleep(_RESTART_S)
+                await asyncio.sleep(_RESTART_DELAY_S)
                 program.incarnation += 1
                 program.begun_s = _now_s()
                 self.disturbances.append((name, ended_s, program.begun_s))
                 await program.process.start()
 
-    async def _heartbeats(self) -> None:
-        """Keep the weight versions in the list of instances true."""
-        told: dict[str, dict[str, int]] = {}
+    async def _update_instance_entries(self) -> None:
+        """Write the instances' current weight versions to their entries."""
+        listed: dict[str, dict[str, int]] = {}
         while True:
-            await asyncio.sleep(_LOOK_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
             for instance in self.fleet.instances:
-                known = told.get(instance.id)
+                known = listed.get(instance.id)
                 if known == instance.versions or instance.is_leaving:
                     continue
                 if not self.store.standin.faults.down:
-                    told[instance.id] = dict(instance.versions)
-                    await self.list_instance(instance)
+                    listed[instance.id] = dict(instance.versions)
+                    await self.register_instance(instance)
 
-    # What is asked of it.
+    # Queries.
 
-    def live(self, upstream: str) -> list[FleetInstance]:
-        """Return the instances that take requests."""
+    def live_instances(self, upstream: str) -> list[FleetInstance]:
+        """Return the instances that aren't leaving."""
         return [
             item
             for item in self.fleet.instances
             if item.upstream == upstream and not item.is_leaving
         ]
 
-    def runs(self, request_id: str) -> int:
-        """Return how often any instance began to work on a request."""
+    def count_runs(self, request_id: str) -> int:
+        """Return how many times instances began to run a request."""
         return sum(item.runs[request_id] for item in self.fleet.instances)
 
-    def failures(self, request_id: str) -> int:
-        """Return how often any instance failed a request after running it."""
+    def count_failures(self, request_id: str) -> int:
+        """Return how many times instances failed a request after running it."""
         return sum(item.failures[request_id] for item in self.fleet.instances)
 
     def is_undisturbed(self, entry: str, at_s: float, for_s: float) -> bool:
-        """Whether an entry and the store were undisturbed for some time before."""
+        """Whether an entry and the store had no disturbance in [at_s - for_s, at_s]."""
         return not any(
             name in (entry, STORE) and begun_s <= at_s and ended_s >= at_s - for_s
             for name, begun_s, ended_s in self.disturbances
         )
 
-    def any_entry(self) -> Program:
-        """Return an entry, as the platform's balancer might."""
+    def choose_entry(self) -> Program:
+        """Return a random entry, as the platform's load balancer would."""
         return self.random.choice(list(self.entries.values()))
 
     async def stop(self) -> None:
-        """End every process that this run has started, and the stand-ins."""
+        """Kill every process of this run and stop the relays and stand-ins."""
         for task in tuple(self._tasks):
             task.cancel()
         for program in (*self.entries.values(), *self.engines.values()):
--- a/soak/seeds.py
+++ b/soak/seeds.py
@@ -1,10 +1,10 @@
-"""Seeds that have failed once, each with its cause; they run again in every CI."""
+"""Seeds that have failed, each with its cause; every CI run repeats them."""
 
 from __future__ import annotations
 
 from typing import Final
 
-#: Seed and duration in seconds to what it showed.
+#: Cause of the failure, by seed and duration in seconds.
 FAILED_SEEDS: Final = {
     (896383, 12.0): "the soak's own count of named versions went back: a trainer whose "
     "naming the store held up set it to 7 behind another's 8, and samples of 8 came, "
