--- a/pistachioglade/agent/_agent_loads.py
+++ b/pistachioglade/agent/_agent_loads.py
@@ -44,8 +44,8 @@
     def _view(self, agent: str, now_s: float) -> AgentView:
         load = self._loads.get(agent)
         own = self._outstanding[agent]
-        usable = self._cooldown_until_s.get(agent, 0.0) <= now_s
+        is_usable = self._cooldown_until_s.get(agent, 0.0) <= now_s
         if load is None:
-            return AgentView(agent, _FIRST_SLOTS, own, usable=usable)
+            return AgentView(agent, _FIRST_SLOTS, own, is_usable=is_usable)
         others = max(0, load.running + load.queued - own)
-        return AgentView(agent, load.slots, own, others, usable)
+        return AgentView(agent, load.slots, own, others, is_usable)
--- a/pistachioglade/agent/_owner.py
+++ b/pistachioglade/agent/_owner.py
@@ -9,7 +9,7 @@
 
 from ..config import AgentSettings, Trainer, Weighing
 from ..controllers import CONFIG, NEWEST, Node
-from ..decisions import FinishedStep, VersionPace, hold_s, steps_to_forget
+from ..decisions import FinishedStep, VersionPace, step_hold_s, steps_to_forget
 from ..errors import ErrorKind, Refusal, refuse
 from ..messages import (
     FetchSamples,
@@ -59,7 +59,7 @@
             if published.version > self._known_versions.get(model, 0):
                 self._known_versions[model] = published.version
                 pace = self._paces.get(model, VersionPace())
-                self._paces[model] = pace.published(now_s)
+                self._paces[model] = pace.after_publication(now_s)
 
     def _hold_s(self, trainer: str) -> float:
         """Return for how long a trainer's step waits for new weights."""
@@ -71,7 +71,7 @@
         if policy.name != "fair" or policy.weighing is not Weighing.STALENESS:
             return 0.0
         pace = self._paces.get(declared.model, VersionPace())
-        return hold_s(pace, time.monotonic())
+        return step_hold_s(pace, time.monotonic())
 
     def owned_trainers(self) -> tuple[str, ...]:
         """Return the trainers whose lease this node holds."""
--- a/pistachioglade/agent/_rollouts.py
+++ b/pistachioglade/agent/_rollouts.py
@@ -337,7 +337,7 @@
         for model, newest in self._node.board.read(NEWEST).items():
             if newest.version > self._known_versions.get(model, 0):
                 self._known_versions[model] = newest.version
-                self._paces[model] = self._paces[model].published(now_s)
+                self._paces[model] = self._paces[model].after_publication(now_s)
         if self._scheduler.is_fair:
             for run in tuple(self._runs.values()):
                 self._stop_if_stale(run)
--- a/pistachioglade/agent/_step_run.py
+++ b/pistachioglade/agent/_step_run.py
@@ -17,7 +17,7 @@
     PlacementPolicy,
     StepPlan,
     StepPolicy,
-    is_sample_hopeless,
+    should_give_up_sample,
     stable_hash,
 )
 from ..errors import ErrorKind, Refusal, refuse
@@ -55,7 +55,7 @@
     hedge_part = policy.hedge_percent / 100.0
     if policy.weighing is Weighing.STALENESS:
         hedge_part /= 2
-    placement = PlacementPolicy(share_part=share_percent / 100.0)
+    placement = PlacementPolicy(share_fraction=share_percent / 100.0)
     return StepPolicy(placement, hedge_part=hedge_part)
 
 
@@ -267,7 +267,7 @@
 
     def _count_internal_error(self, index: int, refusal: Refusal) -> None:
         self._internal_errors[index] += 1
-        if self._final_refusal is None and is_sample_hopeless(
+        if self._final_refusal is None and should_give_up_sample(
             self._internal_errors[index]
         ):
             reason = f"sample {index} can't be made: {refusal.reason}"
--- a/pistachioglade/decisions/__init__.py
+++ b/pistachioglade/decisions/__init__.py
@@ -20,16 +20,16 @@
 from ._choice import CallChooser, Candidate, ChooserSettings
 from ._crash_quarantine import (
     Admission,
+    AdmissionDecision,
     CrashHistory,
-    Verdict,
+    decide_admission,
     history_retention_s,
     is_quarantined,
-    judge_request,
     sample_pause_s,
 )
 from ._engine_orders import (
     ORDER_WINDOW_S,
-    attendant_of,
+    fallback_entry_of,
     first_order_wait_s,
     may_take_orders,
 )
@@ -40,23 +40,23 @@
     choose_for_call,
     choose_for_sample,
     is_slow,
+    median_gap_s,
     should_move,
-    usual_pace_s,
 )
 from ._instance_refusals import (
-    ABSENT_S,
+    ABSENT_EXCLUSION_S,
     InstanceRefusal,
-    kind_of_refusal,
+    classify_refusal,
     should_read_list,
 )
-from ._instance_runs import InstanceRun, run_of
+from ._instance_runs import InstanceRun, classify_run
 from ._job_home import capacity_of, engines_of_others, home_of, homes_of
 from ._job_retention import may_forget
 from ._kept_steps import FinishedStep, steps_to_forget
 from ._keys import Attach, KeyGate, Replay, Run
 from ._lease import LeaseObserver
 from ._membership import BUCKET_COUNT, Membership
-from ._placement import AgentView, GroupHomes, PlacementPolicy, slow_agents
+from ._placement import AgentView, GroupAffinity, PlacementPolicy, slow_agents
 from ._policy import (
     FULL_POLICY,
     WITHOUT_VARIABLE,
@@ -65,23 +65,23 @@
     parse_policy,
 )
 from ._relay_choice import (
-    RELAY_LOOK_S,
-    RelayWord,
+    RELAY_SEARCH_INTERVAL_S,
+    RelayReport,
     relays_to_ask,
     relays_to_use,
 )
-from ._restarts import failures_in_a_row, is_hopeless, restart_pause_s
+from ._restarts import consecutive_failures, restart_pause_s, should_give_up
 from ._result_batches import (
     StepProgress,
     fitting_count,
     write_time_s,
 )
-from ._retry import RetryBudget, is_sample_hopeless, may_repeat, may_retry
+from ._retry import RetryBudget, may_resend, may_retry, should_give_up_sample
 from ._ring import fingers
 from ._sample_order import PendingSample, start_order
-from ._staleness import VersionPace, hold_s, is_fresh, will_be_fresh
+from ._staleness import VersionPace, is_fresh, step_hold_s, will_be_fresh
 from ._step import Dispatch, StepPlan, StepPolicy
-from ._store_calls import TryTime, transfer_time_s
+from ._store_calls import AdaptiveTimeout, transfer_time_s
 from ._store_outage import StoreOutage, may_have_lapsed
 from ._takeover import (
     LATE_ANSWER_S,
@@ -100,36 +100,38 @@
 )
 from ._transfer import fetch_sources, wave_delay_s
 from ._watch_relays import (
-    RELAY_AGE_PART,
-    RELAY_GATHER_PART,
-    RELAY_HOLD_PART,
-    RELAY_REST_S,
-    RELAY_SLACK_S,
+    RELAY_AGE_FRACTION,
+    RELAY_COOLDOWN_S,
+    RELAY_GATHER_FRACTION,
+    RELAY_HOLD_FRACTION,
+    RELAY_TRANSFER_S,
     relay_for,
     relays_of,
 )
-from ._weight_turns import MAX_LAG, rank_of, remembered_places, should_load
+from ._weight_turns import MAX_LAG_VERSIONS, engine_rank, recently_listed, should_load
 
 __all__ = [
-    "ABSENT_S",
+    "ABSENT_EXCLUSION_S",
     "BUCKET_COUNT",
     "FULL_POLICY",
     "LATE_ANSWER_S",
     "LEAST_SAVED_EVENTS",
-    "MAX_LAG",
+    "MAX_LAG_VERSIONS",
     "NEIGHBOUR_TIMEOUT_S",
     "ORDER_WINDOW_S",
     "PROBE_INTERVAL_S",
     "PROBE_TIMEOUT_S",
-    "RELAY_AGE_PART",
-    "RELAY_GATHER_PART",
-    "RELAY_HOLD_PART",
-    "RELAY_LOOK_S",
-    "RELAY_REST_S",
-    "RELAY_SLACK_S",
+    "RELAY_AGE_FRACTION",
+    "RELAY_COOLDOWN_S",
+    "RELAY_GATHER_FRACTION",
+    "RELAY_HOLD_FRACTION",
+    "RELAY_SEARCH_INTERVAL_S",
+    "RELAY_TRANSFER_S",
     "RETRY_PERCENT",
     "WITHOUT_VARIABLE",
+    "AdaptiveTimeout",
     "Admission",
+    "AdmissionDecision",
     "AgentView",
     "Attach",
     "CallChooser",
@@ -140,7 +142,7 @@
     "Dispatch",
     "FairQueue",
     "FinishedStep",
-    "GroupHomes",
+    "GroupAffinity",
     "InstanceRecord",
     "InstanceRefusal",
     "InstanceRun",
@@ -152,7 +154,7 @@
     "PendingSample",
     "PlacementPolicy",
     "Policy",
-    "RelayWord",
+    "RelayReport",
     "Replay",
     "RetryBudget",
     "Run",
@@ -160,55 +162,53 @@
     "StepPolicy",
     "StepProgress",
     "StoreOutage",
-    "TryTime",
-    "Verdict",
     "VersionPace",
-    "attendant_of",
     "capacity_of",
     "choose_for_call",
     "choose_for_sample",
+    "classify_refusal",
+    "classify_run",
+    "consecutive_failures",
+    "decide_admission",
+    "engine_rank",
     "engines_of_others",
-    "failures_in_a_row",
+    "fallback_entry_of",
     "fetch_sources",
     "fingers",
     "first_order_wait_s",
     "fitting_count",
     "heir_of",
     "history_retention_s",
-    "hold_s",
     "home_of",
     "homes_of",
     "is_fresh",
-    "is_hopeless",
     "is_lost",
     "is_quarantined",
-    "is_sample_hopeless",
     "is_slow",
     "is_store_fresh",
     "is_storeless",
-    "judge_request",
-    "kind_of_refusal",
     "may_forget",
     "may_have_lapsed",
-    "may_repeat",
+    "may_resend",
     "may_retry",
     "may_take_orders",
     "may_try_again",
+    "median_gap_s",
     "neighbour_of",
     "parse_policy",
     "probe_interval_s",
-    "rank_of",
+    "recently_listed",
     "refusal_wait_s",
     "relay_for",
     "relays_of",
     "relays_to_ask",
     "relays_to_use",
-    "remembered_places",
     "rendezvous_order",
     "restart_pause_s",
-    "run_of",
     "sample_pause_s",
     "save_interval_s",
+    "should_give_up",
+    "should_give_up_sample",
     "should_load",
     "should_move",
     "should_read_list",
@@ -218,11 +218,11 @@
     "slow_agents",
     "stable_hash",
     "start_order",
+    "step_hold_s",
     "steps_to_forget",
     "stream_silence_s",
     "transfer_time_s",
     "try_time_s",
-    "usual_pace_s",
     "wave_delay_s",
     "will_be_fresh",
     "write_time_s",
--- a/pistachioglade/decisions/_choice.py
+++ b/pistachioglade/decisions/_choice.py
@@ -108,11 +108,11 @@
         """Return the agents that are ejected at ``now_s``."""
         return tuple(name for name in self._records if self._is_ejected(name, now_s))
 
-    def sent(self, agent: str) -> None:
+    def record_sent(self, agent: str) -> None:
         """Record that a call is sent to an agent."""
         self._record_of(agent).outstanding += 1
 
-    def answered(self, agent: str, answer_s: float, now_s: float) -> None:
+    def record_answer(self, agent: str, answer_s: float, now_s: float) -> None:
         """Record an answer, and eject the agent if it has become slow."""
         record = self._record_of(agent)
         record.outstanding -= 1
@@ -124,7 +124,7 @@
         elif len(record.answer_s) == _WINDOW:
             record.ejections = 0
 
-    def failed(self, agent: str, now_s: float) -> None:
+    def record_failure(self, agent: str, now_s: float) -> None:
         """Record a failure, and eject the agent after several in a row."""
         record = self._record_of(agent)
         record.outstanding -= 1
--- a/pistachioglade/decisions/_crash_quarantine.py
+++ b/pistachioglade/decisions/_crash_quarantine.py
@@ -67,7 +67,7 @@
 
 
 @attrs.frozen
-class Verdict:
+class AdmissionDecision:
     """Admission decision for a request."""
 
     # Whether the request may be sent.
@@ -78,7 +78,7 @@
     wait_s: float = 0.0
 
 
-_SEND: Final = Verdict(Admission.SEND)
+_SEND: Final = AdmissionDecision(Admission.SEND)
 
 
 def is_quarantined(crashes: int) -> bool:
@@ -86,7 +86,7 @@
     return crashes >= QUARANTINE_CRASHES
 
 
-def judge_request(history: CrashHistory, open_instances: int) -> Verdict:
+def decide_admission(history: CrashHistory, open_instances: int) -> AdmissionDecision:
     """Return the admission decision for a request.
 
     ``open_instances`` is the number of instances of its upstream that can run the
@@ -105,12 +105,16 @@
         return _refuse(history, _RUN_WAIT_S)
     if open_instances < 2 and history.unchanged_s < due_s + _SPARE_WAIT_S:
         return _refuse(history, _REPLACEMENT_WAIT_S)
-    return Verdict(Admission.TRIAL) if is_quarantined(history.crashes) else _SEND
+    return (
+        AdmissionDecision(Admission.TRIAL) if is_quarantined(history.crashes) else _SEND
+    )
 
 
-def _refuse(history: CrashHistory, wait_s: float) -> Verdict:
+def _refuse(history: CrashHistory, wait_s: float) -> AdmissionDecision:
     reason = f"{history.crashes} instances ended while they ran this request"
-    return Verdict(Admission.REFUSE, reason, round(max(_RUN_WAIT_S, wait_s), 3))
+    return AdmissionDecision(
+        Admission.REFUSE, reason, round(max(_RUN_WAIT_S, wait_s), 3)
+    )
 
 
 def sample_pause_s(crashes: int) -> float:
--- a/pistachioglade/decisions/_engine_orders.py
+++ b/pistachioglade/decisions/_engine_orders.py
@@ -41,6 +41,6 @@
     return is_beside or not is_held_beside or checks_fences
 
 
-def attendant_of(engine: str, entries: Iterable[str]) -> str | None:
+def fallback_entry_of(engine: str, entries: Iterable[str]) -> str | None:
     """Return the entry that sends an engine's orders if no process beside it does."""
     return next(iter(rendezvous_order(engine, entries)), None)
--- a/pistachioglade/decisions/_instance_choice.py
+++ b/pistachioglade/decisions/_instance_choice.py
@@ -81,7 +81,7 @@
     outstanding: int = 0
     # Running samples of other job owners and the monotonic time of their report, by
     # owner.
-    told: dict[str, tuple[int, float]] = attrs.field(factory=dict)
+    owner_reports: dict[str, tuple[int, float]] = attrs.field(factory=dict)
     # In-flight requests of other nodes, by the instance's last load report.
     reported_others: int = 0
     # Monotonic time of that report.
@@ -93,7 +93,7 @@
     # Monotonic time until which the instance is in a cooldown.
     cooldown_until_s: float = float("-inf")
     # Mean time between two events of a stream, in seconds; None before any.
-    event_gap_s: float | None = None
+    mean_gap_s: float | None = None
     # Monotonic time of the last measured gap.
     gap_measured_s: float = float("-inf")
     # Newest weight version seen at the instance, by model.
@@ -104,7 +104,7 @@
     # last good answer, by model.
     load_refusals: dict[str, int] = attrs.field(factory=dict)
     # Whether cooldowns apply to the instance.
-    may_rest: bool = True
+    has_cooldowns: bool = True
     # Whether the instance has answered since its listing, so that the listed address is
     # right.
     has_answered: bool = True
@@ -114,7 +114,7 @@
         is_report_valid = now_s - self.load_reported_s < _LOAD_REPORT_TTL_S
         told = sum(
             count
-            for count, reported_s in self.told.values()
+            for count, reported_s in self.owner_reports.values()
             if now_s - reported_s < _OWNER_REPORT_TTL_S
         )
         return self.outstanding + max(
@@ -125,7 +125,7 @@
         """Return the free slots that this node knows of."""
         return self.slots - self.load(now_s)
 
-    def room(self, now_s: float) -> int:
+    def sample_capacity(self, now_s: float) -> int:
         """Return the number of samples that may be sent to the instance now.
 
         An instance that hasn't answered yet gets a single sample: the list may be out
@@ -134,16 +134,16 @@
         free = self.free_slots(now_s)
         return free if self.has_answered else min(free, 1 - self.outstanding)
 
-    def is_resting(self, now_s: float) -> bool:
+    def is_in_cooldown(self, now_s: float) -> bool:
         """Whether the instance is in a cooldown after a failure or a refusal."""
-        return self.may_rest and now_s < self.cooldown_until_s
+        return self.has_cooldowns and now_s < self.cooldown_until_s
 
-    def told_load(self, running: int, waiting: int, now_s: float) -> None:
+    def record_load_report(self, running: int, waiting: int, now_s: float) -> None:
         """Record the instance's load report."""
         self.reported_others = max(0, running + waiting - self.outstanding)
         self.load_reported_s = now_s
 
-    def refused(
+    def record_refusal(
         self, kind: InstanceRefusal, now_s: float, model: str | None = None
     ) -> None:
         """Record a refusal; a refusal for a load of weights affects only that model."""
@@ -156,7 +156,7 @@
         self.refusals += 1
         self.cooldown_until_s = max(self.cooldown_until_s, now_s + pause_s)
 
-    def sent(self, model: str, now_s: float) -> None:
+    def record_sent(self, model: str, now_s: float) -> None:
         """Record that a request of a model is sent to the instance.
 
         If the model's last request was refused because of a load of weights, other
@@ -169,7 +169,7 @@
         """Whether requests of a model wait, since the instance loads its weights."""
         return now_s < self.loading_until_s.get(model, now_s)
 
-    def answered(self, model: str | None = None) -> None:
+    def record_answer(self, model: str | None = None) -> None:
         """Record a good answer, and end the cooldown.
 
         ``model`` is the model of the request; None if the request has no model.
@@ -179,55 +179,59 @@
         self.refusals = 0
         self.cooldown_until_s = float("-inf")
         if model is not None:
-            self.loaded(model)
+            self.record_model_loaded(model)
 
-    def loaded(self, model: str) -> None:
+    def record_model_loaded(self, model: str) -> None:
         """Record that the instance runs a request of a model."""
         self.load_refusals.pop(model, None)
         self.loading_until_s.pop(model, None)
 
-    def failed(self, now_s: float) -> None:
+    def record_failure(self, now_s: float) -> None:
         """Record a failure; each further failure doubles the cooldown."""
         cooldown_s = min(_MAX_COOLDOWN_S, _FIRST_COOLDOWN_S * 2.0**self.failures)
         self.failures += 1
         self.cooldown_until_s = max(self.cooldown_until_s, now_s + cooldown_s)
 
-    def paced(self, gap_s: float, now_s: float) -> None:
+    def record_event_gap(self, gap_s: float, now_s: float) -> None:
         """Record the time between two events of one stream."""
-        known_s = self.event_gap_s
+        known_s = self.mean_gap_s
         is_old = now_s - self.gap_measured_s > _PACE_TTL_S
         self.gap_measured_s = now_s
         if known_s is None or is_old:
-            self.event_gap_s = gap_s
+            self.mean_gap_s = gap_s
         elif gap_s < known_s * _STALL_FACTOR:
-            self.event_gap_s = known_s + _PACE_WEIGHT * (gap_s - known_s)
+            self.mean_gap_s = known_s + _PACE_WEIGHT * (gap_s - known_s)
 
-    def pace_s(self, now_s: float) -> float | None:
+    def recent_gap_s(self, now_s: float) -> float | None:
         """Return the mean gap in seconds; None if no recent gap is known."""
-        return self.event_gap_s if now_s - self.gap_measured_s < _PACE_TTL_S else None
+        return self.mean_gap_s if now_s - self.gap_measured_s < _PACE_TTL_S else None
 
 
-def usual_pace_s(records: Iterable[InstanceRecord], now_s: float) -> float | None:
+def median_gap_s(records: Iterable[InstanceRecord], now_s: float) -> float | None:
     """Return the median of the known mean gaps; the lower of two middle values.
 
     While weights load, a job often has only two instances to choose from. The mean of
     the two gaps would hide that one gap is two and a half times as long as the other.
     """
-    paces = [pace for item in records if (pace := item.pace_s(now_s)) is not None]
+    paces = [pace for item in records if (pace := item.recent_gap_s(now_s)) is not None]
     return median_low(paces) if paces else None
 
 
 def _known_paces_s(
     records: Iterable[tuple[str, InstanceRecord]], now_s: float
 ) -> Iterator[float]:
-    known = (record.pace_s(now_s) for _, record in records)
-    return (pace_s for pace_s in known if pace_s is not None)
+    known = (record.recent_gap_s(now_s) for _, record in records)
+    return (recent_gap_s for recent_gap_s in known if recent_gap_s is not None)
 
 
 def is_slow(record: InstanceRecord, usual_s: float | None, now_s: float) -> bool:
     """Whether an instance emits events much more slowly than its peers."""
-    pace_s = record.pace_s(now_s)
-    return pace_s is not None and usual_s is not None and pace_s > SLOW_FACTOR * usual_s
+    recent_gap_s = record.recent_gap_s(now_s)
+    return (
+        recent_gap_s is not None
+        and usual_s is not None
+        and recent_gap_s > SLOW_FACTOR * usual_s
+    )
 
 
 def choose_for_call(
@@ -244,7 +248,7 @@
         load = record.load(now_s) / record.slots
         remote = 0.0 if record.domain == own_domain else _REMOTE_DOMAIN_PENALTY
         full = _FULL_PENALTY if record.free_slots(now_s) <= 0 else 0.0
-        cooldown = _COOLDOWN_PENALTY if record.is_resting(now_s) else 0.0
+        cooldown = _COOLDOWN_PENALTY if record.is_in_cooldown(now_s) else 0.0
         return load + remote + full + cooldown, name
 
     best = min(records, key=rank, default=None)
@@ -266,7 +270,7 @@
     expected length of the sample: long samples go to fast instances.
     ``preferred_by_others`` are the instances that other job owners prefer.
     """
-    usual_s = usual_pace_s((record for _, record in records), now_s)
+    usual_s = median_gap_s((record for _, record in records), now_s)
     fastest_s = min(_known_paces_s(records, now_s), default=0.0)
     holders = frozenset(prompt_holders)
 
@@ -275,7 +279,7 @@
         load = record.load(now_s) / record.slots
         shared = _SHARED_PROMPT_BONUS if name in holders else 0.0
         slow = _SLOW_PENALTY if is_slow(record, usual_s, now_s) else 0.0
-        behind_s = (record.pace_s(now_s) or fastest_s) - fastest_s
+        behind_s = (record.recent_gap_s(now_s) or fastest_s) - fastest_s
         tolerated_s = _PACE_TOLERANCE * fastest_s
         delay_s = max(0.0, behind_s - tolerated_s) * events_left
         other = _OTHER_OWNER_PENALTY if name in preferred_by_others else 0.0
@@ -284,8 +288,8 @@
     usable = [
         item
         for item in records
-        if item[1].room(now_s) > 0
-        and not item[1].is_resting(now_s)
+        if item[1].sample_capacity(now_s) > 0
+        and not item[1].is_in_cooldown(now_s)
         and item[0] != avoid
     ]
     best = min(usable, key=rank, default=None)
@@ -305,14 +309,14 @@
     free slot.
     """
     peers = list(others)
-    usual_s = usual_pace_s((*peers, record), now_s)
+    usual_s = median_gap_s((*peers, record), now_s)
     if usual_s is None or not is_slow(record, usual_s, now_s):
         return False
     if remaining_events is not None and remaining_events < _MIN_EVENTS_TO_MOVE:
         return False
     return any(
-        peer.room(now_s) > 0
-        and not peer.is_resting(now_s)
+        peer.sample_capacity(now_s) > 0
+        and not peer.is_in_cooldown(now_s)
         and not is_slow(peer, usual_s, now_s)
         for peer in peers
     )
--- a/pistachioglade/decisions/_instance_refusals.py
+++ b/pistachioglade/decisions/_instance_refusals.py
@@ -14,7 +14,7 @@
 
 #: Time for which an instance isn't used after another instance answered at its address:
 #: longer than a silent instance stays on the list.
-ABSENT_S: Final = 6.0
+ABSENT_EXCLUSION_S: Final = 6.0
 #: Number of instances found absent from which the list is read again immediately.
 _MIN_ABSENT: Final = 3
 #: Time within which those instances have to be found absent.
@@ -36,7 +36,7 @@
     FULL = "full"
 
 
-def kind_of_refusal(
+def classify_refusal(
     is_misdirected: bool, is_version_pinned: bool, free_slots: int | None
 ) -> InstanceRefusal:
     """Return the reason for which an instance refused a request.
--- a/pistachioglade/decisions/_instance_runs.py
+++ b/pistachioglade/decisions/_instance_runs.py
@@ -22,7 +22,7 @@
     UNNAMED = "unnamed"
 
 
-def run_of(known_born_ms: int, entry_born_ms: int) -> InstanceRun:
+def classify_run(known_born_ms: int, entry_born_ms: int) -> InstanceRun:
     """Return how an entry's run relates to the known run.
 
     Both runs are given by their birth time in Unix milliseconds; 0 if unknown.
--- a/pistachioglade/decisions/_placement.py
+++ b/pistachioglade/decisions/_placement.py
@@ -33,7 +33,7 @@
     # the agent busy and use the trainer's share.
     backlog_factor: float | None = None
     # Share of the trainer, as a fraction of all slots.
-    share_part: float = 1.0
+    share_fraction: float = 1.0
 
 
 @attrs.frozen
@@ -49,7 +49,7 @@
     # Samples of other owners at the agent, by its last report.
     others: int = 0
     # Whether samples may be sent to the agent now.
-    usable: bool = True
+    is_usable: bool = True
 
     @property
     def load(self) -> float:
@@ -57,11 +57,11 @@
         return (self.outstanding + self.others) / max(1, self.slots)
 
 
-def agents_with_room(
+def available_agents(
     agents: Sequence[AgentView], policy: PlacementPolicy
 ) -> list[AgentView]:
     """Return the agents that may be sent a sample, the least loaded first."""
-    room = [view for view in agents if view.usable and _has_room(view, policy)]
+    room = [view for view in agents if view.is_usable and _has_room(view, policy)]
     return sorted(room, key=lambda view: (view.load, view.agent))
 
 
@@ -77,11 +77,11 @@
     is_free = view.outstanding + view.others < view.slots
     return (
         is_free
-        or view.outstanding < policy.share_part * view.slots + _EXTRA_QUEUED_SAMPLES
+        or view.outstanding < policy.share_fraction * view.slots + _EXTRA_QUEUED_SAMPLES
     )
 
 
-class GroupHomes:
+class GroupAffinity:
     """Holds the preferred agent of each group of a step."""
 
     def __init__(self, key: str) -> None:
--- a/pistachioglade/decisions/_relay_choice.py
+++ b/pistachioglade/decisions/_relay_choice.py
@@ -18,7 +18,7 @@
 
 #: Time between two rounds of the search for relays while the store can't be reached. A
 #: refused caller retries after half a second.
-RELAY_LOOK_S: Final = 0.4
+RELAY_SEARCH_INTERVAL_S: Final = 0.4
 #: Time for which an entry's report counts: two rounds and a slow answer.
 _REPORT_TTL_S: Final = 1.0
 #: Number of entries that are asked in one round.
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen
-class RelayWord:
+class RelayReport:
     """An entry's report on its own route to the store."""
 
     # Monotonic time of the report.
@@ -53,7 +53,7 @@
     return (asked[start:] + asked[:start])[:_ASKED_PER_ROUND]
 
 
-def relays_to_use(reports: Mapping[str, RelayWord], now_s: float) -> list[str]:
+def relays_to_use(reports: Mapping[str, RelayReport], now_s: float) -> list[str]:
     """Return the entries that may relay a call, in descending order of capacity.
 
     A relayed call crosses the relay's link twice in each direction. The batches of all
@@ -70,5 +70,5 @@
     return usable[:_MAX_RELAYS_PER_CALL]
 
 
-def _relay_rank(name: str, report: RelayWord) -> tuple[float, float, str]:
+def _relay_rank(name: str, report: RelayReport) -> tuple[float, float, str]:
     return -report.capacity, -report.reported_s, name
--- a/pistachioglade/decisions/_restarts.py
+++ b/pistachioglade/decisions/_restarts.py
@@ -22,7 +22,7 @@
 _MAX_FAILURES: Final = 8
 
 
-def failures_in_a_row(earlier: int, ran_s: float) -> int:
+def consecutive_failures(earlier: int, ran_s: float) -> int:
     """Return the number of consecutive failures after work failed.
 
     ``earlier`` is the number before, ``ran_s`` the run time of the work in seconds.
@@ -30,7 +30,7 @@
     return 1 if ran_s >= _FAILURE_RESET_S else earlier + 1
 
 
-def is_hopeless(failures: int) -> bool:
+def should_give_up(failures: int) -> bool:
     """Whether work with this number of consecutive failures is given up."""
     return failures >= _MAX_FAILURES
 
--- a/pistachioglade/decisions/_retry.py
+++ b/pistachioglade/decisions/_retry.py
@@ -44,11 +44,11 @@
         self._ratio = percent / 100.0
         self._tokens = _INITIAL_TOKENS
 
-    def first_try(self) -> None:
+    def count_first_try(self) -> None:
         """Count a first try."""
         self._tokens = min(_MAX_TOKENS, self._tokens + self._ratio)
 
-    def take(self) -> bool:
+    def spend_retry(self) -> bool:
         """Use one retry of the budget; return False if the budget is used up."""
         if self._tokens < 1.0:
             return False
@@ -63,7 +63,7 @@
     return refusal.did_not_run or idempotent
 
 
-def may_repeat(refusal: Refusal, faults_in_row: int) -> bool:
+def may_resend(refusal: Refusal, faults_in_row: int) -> bool:
     """Return whether a trainer's request may be sent again unchanged.
 
     ``faults_in_row`` is the number of consecutive answers, up to this refusal, that
@@ -75,7 +75,7 @@
     return faults_in_row < _MAX_FAULTS_IN_ROW
 
 
-def is_sample_hopeless(faults: int) -> bool:
+def should_give_up_sample(faults: int) -> bool:
     """Return whether a sample with this number of internal faults is given up.
 
     Other failures come from an engine or a link and may be temporary.
--- a/pistachioglade/decisions/_staleness.py
+++ b/pistachioglade/decisions/_staleness.py
@@ -23,7 +23,7 @@
     # Monotonic time of the newest version; None before any.
     last_s: float | None = None
 
-    def published(self, now_s: float) -> VersionPace:
+    def after_publication(self, now_s: float) -> VersionPace:
         """Return the pace after the publication of a version."""
         if self.last_s is None:
             return VersionPace(None, now_s)
@@ -41,7 +41,7 @@
         return int((since_s + ahead_s) / self.interval_s)
 
 
-def hold_s(pace: VersionPace, now_s: float) -> float:
+def step_hold_s(pace: VersionPace, now_s: float) -> float:
     """Return how long a step that starts now waits for new weights, in seconds.
 
     Used where staleness weighs more than idle time: samples are then better made with
--- a/pistachioglade/decisions/_step.py
+++ b/pistachioglade/decisions/_step.py
@@ -18,9 +18,9 @@
 from ..messages import Receipt, Sample
 from ._placement import (
     AgentView,
-    GroupHomes,
+    GroupAffinity,
     PlacementPolicy,
-    agents_with_room,
+    available_agents,
     slow_agents,
 )
 from ._staleness import is_fresh
@@ -97,7 +97,7 @@
         self._rates: dict[str, deque[float]] = defaultdict(
             lambda: deque(maxlen=_RATE_WINDOW_SAMPLES)
         )
-        self._affinity = GroupHomes(key)
+        self._affinity = GroupAffinity(key)
         self._hedged = 0
 
     @property
@@ -166,7 +166,7 @@
         return dispatch
 
     def _next_pending(self, agents: Sequence[AgentView]) -> Dispatch | None:
-        available = agents_with_room(agents, self._policy.placement)
+        available = available_agents(agents, self._policy.placement)
         if not self._pending:
             return None
         for agent, group in self._iter_choices(available, agents):
@@ -184,7 +184,7 @@
             yield from ((view.agent, min(self._pending)) for view in available)
             return
         waiting = {group: len(pending) for group, pending in self._pending.items()}
-        self._affinity.assign(waiting, [view for view in agents if view.usable])
+        self._affinity.assign(waiting, [view for view in agents if view.is_usable])
         chosen = self._exclude_slow_agents(available, agents)
         free = {view.agent for view in chosen if view.load < 1.0}
         busy = {view.agent for view in agents} - free
@@ -202,7 +202,7 @@
         """
         slow = slow_agents(self._rates, _SLOW_RATE_FRACTION)
         quick_slots = sum(
-            view.slots for view in agents if view.usable and view.agent not in slow
+            view.slots for view in agents if view.is_usable and view.agent not in slow
         )
         if self.pending_count > 2 * quick_slots:
             return available
@@ -242,7 +242,7 @@
         idle = [
             view
             for view in agents
-            if view.usable and view.agent not in excluded and view.load < 1.0
+            if view.is_usable and view.agent not in excluded and view.load < 1.0
         ]
         if not idle:
             return None
--- a/pistachioglade/decisions/_store_calls.py
+++ b/pistachioglade/decisions/_store_calls.py
@@ -27,17 +27,17 @@
 
 
 @attrs.define
-class TryTime:
+class AdaptiveTimeout:
     """Timeout of a call that is tried again until the call is answered."""
 
     # Factor of the usual timeout; grows while the route is slow.
     _factor: float = attrs.field(default=1.0, init=False)
 
-    def limit_s(self, usual_s: float) -> float:
+    def timeout_s(self, usual_s: float) -> float:
         """Return the timeout of the next try; ``usual_s`` is that of the first try."""
         return max(usual_s, min(_MAX_TIMEOUT_S, usual_s * self._factor))
 
-    def lost(self, is_route_slow: bool) -> None:
+    def record_lost_try(self, is_route_slow: bool) -> None:
         """Record a try that was not answered.
 
         The next try gets more time only on a route that is known to be slow. A silent
--- a/pistachioglade/decisions/_store_outage.py
+++ b/pistachioglade/decisions/_store_outage.py
@@ -36,19 +36,19 @@
     # Monotonic time at which the outage was detected; None without an outage.
     unavailable_since_s: float | None = None
     # Monotonic time at which the last outage ended; None before any outage ended.
-    returned_s: float | None = None
+    ended_s: float | None = None
 
     @property
     def is_unavailable(self) -> bool:
         """Whether the store is in an outage."""
         return self.unavailable_since_s is not None
 
-    def answered(self, asked_s: float, now_s: float) -> None:
+    def record_answer(self, asked_s: float, now_s: float) -> None:
         """Record an answer, on any route, to a call that began at ``asked_s``."""
         if self.unavailable_since_s is not None and not self._was_false_alarm(
             asked_s, now_s
         ):
-            self.returned_s = now_s
+            self.ended_s = now_s
         self.answered_s = now_s
         self.unanswered_since_s = None
         self.unavailable_since_s = None
@@ -63,7 +63,7 @@
         assert since_s is not None
         return asked_s <= since_s and now_s - since_s < _MIN_OUTAGE_S
 
-    def unanswered(self, begun_s: float, now_s: float) -> None:
+    def record_unanswered(self, begun_s: float, now_s: float) -> None:
         """Record that no route answered a call that began at ``begun_s``.
 
         Other calls may have been answered while this call waited.
@@ -81,7 +81,7 @@
         """
         if self.is_unavailable:
             return 0.0
-        return None if self.returned_s is None else now_s - self.returned_s
+        return None if self.ended_s is None else now_s - self.ended_s
 
 
 def may_have_lapsed(outage_age_s: float | None) -> bool:
--- a/pistachioglade/decisions/_watch_relays.py
+++ b/pistachioglade/decisions/_watch_relays.py
@@ -23,17 +23,17 @@
 _MIN_RELAYS: Final = 2
 #: Time for which a relay collects changes, as a fraction of the time for which a
 #: leaving instance still serves.
-RELAY_GATHER_PART: Final = 0.3
+RELAY_GATHER_FRACTION: Final = 0.3
 #: Longest time for which a relay holds a request while there are no changes, as a
 #: fraction of the same time.
-RELAY_HOLD_PART: Final = 0.25
+RELAY_HOLD_FRACTION: Final = 0.25
 #: Time for the transfer of a request and its answer.
-RELAY_SLACK_S: Final = 0.3
+RELAY_TRANSFER_S: Final = 0.3
 #: Longest time since the store's last answer to a relay for which the relay's copy is
 #: valid, as a fraction of the same time. Together with the hold, less than that time.
-RELAY_AGE_PART: Final = 0.35
+RELAY_AGE_FRACTION: Final = 0.35
 #: Cooldown of a relay that didn't answer.
-RELAY_REST_S: Final = 5.0
+RELAY_COOLDOWN_S: Final = 5.0
 
 
 def relays_of(entries: Iterable[str]) -> Sequence[str]:
--- a/pistachioglade/decisions/_weight_turns.py
+++ b/pistachioglade/decisions/_weight_turns.py
@@ -14,7 +14,7 @@
 
 #: Number of versions that an engine may be behind: trainers accept the newest version
 #: and the version before.
-MAX_LAG: Final = 1
+MAX_LAG_VERSIONS: Final = 1
 #: Number of models that one engine keeps up to date. All engines together then load as
 #: often as if each engine loaded every version of a single model.
 MODELS_PER_ENGINE: Final = 2
@@ -24,7 +24,7 @@
 _RANK_RETENTION_S: Final = 20.0
 
 
-def remembered_places(
+def recently_listed(
     seen_s: Mapping[str, float], listed: Iterable[str], now_s: float
 ) -> dict[str, float]:
     """Return the time each engine of an upstream was last listed, by its address.
@@ -39,7 +39,7 @@
     return recent | dict.fromkeys(listed, now_s)
 
 
-def rank_of(address: str, engines: Iterable[str]) -> int:
+def engine_rank(address: str, engines: Iterable[str]) -> int:
     """Return the index of an engine among those of its upstream; 0 if not known."""
     ordered = sorted(engines)
     return ordered.index(address) if address in ordered else 0
@@ -58,7 +58,7 @@
         return lag > 0
     if not _is_assigned(rank, models, model):
         return False
-    if lag > MAX_LAG:
+    if lag > MAX_LAG_VERSIONS:
         return True
     if len(models) == 1:
         return (rank + named) % 2 == 0
--- a/pistachioglade/decisions/tests/test_choice.py
+++ b/pistachioglade/decisions/tests/test_choice.py
@@ -16,14 +16,14 @@
 def _record_answer(
     chooser: CallChooser, agent: str, answer_s: float, now_s: float
 ) -> None:
-    chooser.sent(agent)
-    chooser.answered(agent, answer_s, now_s)
+    chooser.record_sent(agent)
+    chooser.record_answer(agent, answer_s, now_s)
 
 
 def test_the_less_loaded_of_two_agents_is_chosen() -> None:
     chooser = _chooser()
     for _call in range(5):
-        chooser.sent("a")
+        chooser.record_sent("a")
     chosen = {chooser.choose(_CANDIDATES[:2], "dom", (), 0.0) for _try in range(20)}
     assert chosen == {"b"}
 
@@ -41,8 +41,8 @@
     chooser = _chooser()
     for agent in ("a", "b", "c", "d"):
         for _try in range(3):
-            chooser.sent(agent)
-            chooser.failed(agent, 1.0)
+            chooser.record_sent(agent)
+            chooser.record_failure(agent, 1.0)
     assert len(chooser.ejected_agents(1.0)) == 1
 
 
--- a/pistachioglade/decisions/tests/test_crash_quarantine.py
+++ b/pistachioglade/decisions/tests/test_crash_quarantine.py
@@ -7,8 +7,8 @@
 from .. import (
     Admission,
     CrashHistory,
+    decide_admission,
     history_retention_s,
-    judge_request,
     sample_pause_s,
 )
 from .._crash_quarantine import _QUARANTINE_RETENTION_S, _TRIAL_PAUSES_S
@@ -39,14 +39,14 @@
 def test_admission(name: str) -> None:
     crashes, trials, unchanged_s, is_running, open_instances, expected = _CASES[name]
     history = CrashHistory(crashes, trials, unchanged_s, is_running)
-    verdict = judge_request(history, open_instances)
+    verdict = decide_admission(history, open_instances)
     assert verdict.admission is expected
     assert (verdict.wait_s > 0.0) == (expected is _REFUSE)
     assert bool(verdict.reason) == (expected is _REFUSE)
 
 
 def test_a_refusal_carries_the_time_until_the_trial() -> None:
-    verdict = judge_request(CrashHistory(3, 0, 12.5, False), 9)
+    verdict = decide_admission(CrashHistory(3, 0, 12.5, False), 9)
     assert verdict.wait_s == 17.5
 
 
--- a/pistachioglade/decisions/tests/test_instance_choice.py
+++ b/pistachioglade/decisions/tests/test_instance_choice.py
@@ -13,8 +13,8 @@
     choose_for_call,
     choose_for_sample,
     is_slow,
+    median_gap_s,
     should_move,
-    usual_pace_s,
 )
 
 
@@ -23,7 +23,7 @@
 ) -> InstanceRecord:
     record = InstanceRecord(domain, slots, outstanding=outstanding)
     if gap_s is not None:
-        record.paced(gap_s, 0.0)
+        record.record_event_gap(gap_s, 0.0)
     return record
 
 
@@ -54,23 +54,23 @@
     record = _record()
     cooldowns_s = []
     for _ in range(6):
-        record.failed(10.0)
+        record.record_failure(10.0)
         cooldowns_s.append(record.cooldown_until_s - 10.0)
     assert cooldowns_s == [0.25, 0.5, 1.0, 2.0, 3.0, 3.0]
-    record.answered()
-    assert not record.is_resting(10.0)
+    record.record_answer()
+    assert not record.is_in_cooldown(10.0)
 
 
 def test_a_refusal_causes_a_shorter_cooldown_than_a_failure() -> None:
     refused, failed = _record(), _record()
-    refused.refused(InstanceRefusal.FULL, 0.0)
-    failed.failed(0.0)
+    refused.record_refusal(InstanceRefusal.FULL, 0.0)
+    failed.record_failure(0.0)
     assert 0.0 < refused.cooldown_until_s < failed.cooldown_until_s
 
 
 def test_a_load_report_expires() -> None:
     record = _record(outstanding=2)
-    record.told_load(7, 1, 0.0)
+    record.record_load_report(7, 1, 0.0)
     assert record.free_slots(0.1) == 0
     assert record.free_slots(1.0) == 6
 
@@ -131,15 +131,15 @@
 
 def test_a_stall_does_not_change_the_mean_gap() -> None:
     record = _record(gap_s=0.04)
-    record.paced(0.9, 1.0)
-    assert record.pace_s(1.0) == 0.04
+    record.record_event_gap(0.9, 1.0)
+    assert record.recent_gap_s(1.0) == 0.04
 
 
 def test_an_old_mean_gap_expires() -> None:
     record = _record(gap_s=0.04)
-    assert record.pace_s(30.0) is None
-    record.paced(0.2, 30.0)
-    assert record.pace_s(30.0) == 0.2
+    assert record.recent_gap_s(30.0) is None
+    record.record_event_gap(0.2, 30.0)
+    assert record.recent_gap_s(30.0) == 0.2
 
 
 _MOVES = {
@@ -157,13 +157,15 @@
 def test_samples_move_only_if_a_move_saves_time(name: str) -> None:
     gap_s, peers, left, moves = _MOVES[name]
     record = _record(gap_s=gap_s)
-    others = [_record(outstanding=load, gap_s=pace_s) for pace_s, load in peers]
+    others = [
+        _record(outstanding=load, gap_s=recent_gap_s) for recent_gap_s, load in peers
+    ]
     assert should_move(record, others, left, 0.0) is moves
 
 
 def test_slow_instances_are_found_by_the_median() -> None:
     records = [_record(gap_s=gap_s) for gap_s in (0.04, 0.04, 0.12)]
-    usual_s = usual_pace_s(records, 0.0)
+    usual_s = median_gap_s(records, 0.0)
     assert [is_slow(item, usual_s, 0.0) for item in records] == [False, False, True]
 
 
@@ -173,7 +175,7 @@
     The mean of two gaps would hide the slower one.
     """
     records = [_record(gap_s=gap_s) for gap_s in (0.04, 0.104)]
-    usual_s = usual_pace_s(records, 0.0)
+    usual_s = median_gap_s(records, 0.0)
     assert [is_slow(item, usual_s, 0.0) for item in records] == [False, True]
 
 
@@ -231,7 +233,7 @@
     )
     assert chosen == "theirs"
     # Samples reported by another job owner count, though the engine didn't report them.
-    records["theirs"].told["home"] = 8, 0.0
+    records["theirs"].owner_reports["home"] = 8, 0.0
     chosen = choose_for_sample(
         tuple(records.items()), (), None, 0.0, preferred_by_others=frozenset({"theirs"})
     )
--- a/pistachioglade/decisions/tests/test_instance_runs.py
+++ b/pistachioglade/decisions/tests/test_instance_runs.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from .. import InstanceRun, run_of
+from .. import InstanceRun, classify_run
 
 
 @pytest.mark.parametrize(
@@ -21,4 +21,4 @@
 def test_run_of_a_list_entry_is_compared_with_the_known_run(
     known_born_ms: int, entry_born_ms: int, expected: InstanceRun
 ) -> None:
-    assert run_of(known_born_ms, entry_born_ms) is expected
+    assert classify_run(known_born_ms, entry_born_ms) is expected
--- a/pistachioglade/decisions/tests/test_relay_choice.py
+++ b/pistachioglade/decisions/tests/test_relay_choice.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from .._relay_choice import RelayWord, relays_to_ask, relays_to_use
+from .._relay_choice import RelayReport, relays_to_ask, relays_to_use
 
 _NAMES = [f"e-{number:02}" for number in range(22)]
 
@@ -46,24 +46,24 @@
 _REPORTS = {
     # name: (reports at 10.0, expected)
     "none": ({}, []),
-    "one reaches it": ({"a": RelayWord(9.8, True)}, ["a"]),
-    "one doesn't": ({"a": RelayWord(9.8, False)}, []),
-    "an old word": ({"a": RelayWord(8.9, True)}, []),
+    "one reaches it": ({"a": RelayReport(9.8, True)}, ["a"]),
+    "one doesn't": ({"a": RelayReport(9.8, False)}, []),
+    "an old word": ({"a": RelayReport(8.9, True)}, []),
     "the latest first": (
-        {"a": RelayWord(9.2, True), "b": RelayWord(9.9, True)},
+        {"a": RelayReport(9.2, True), "b": RelayReport(9.9, True)},
         ["b", "a"],
     ),
     "the ablest before the latest": (
         {
-            "small": RelayWord(9.9, True, 0.3),
-            "large": RelayWord(9.2, True, 1.0),
-            "larger, cut off": RelayWord(9.9, False, 2.0),
-            "larger, long ago": RelayWord(8.0, True, 2.0),
+            "small": RelayReport(9.9, True, 0.3),
+            "large": RelayReport(9.2, True, 1.0),
+            "larger, cut off": RelayReport(9.9, False, 2.0),
+            "larger, long ago": RelayReport(8.0, True, 2.0),
         },
         ["large", "small"],
     ),
     "two at most": (
-        {name: RelayWord(9.5, True) for name in "abcd"},
+        {name: RelayReport(9.5, True) for name in "abcd"},
         ["a", "b"],
     ),
 }
--- a/pistachioglade/decisions/tests/test_serving_tables.py
+++ b/pistachioglade/decisions/tests/test_serving_tables.py
@@ -11,6 +11,7 @@
     CallPolicy,
     NeighbourView,
     PendingSample,
+    engine_rank,
     engines_of_others,
     fitting_count,
     heir_of,
@@ -22,8 +23,7 @@
     may_try_again,
     neighbour_of,
     probe_interval_s,
-    rank_of,
-    remembered_places,
+    recently_listed,
     save_interval_s,
     should_load,
     should_save,
@@ -276,13 +276,13 @@
     If the lapse changes the ranks, four of five engines load at once.
     """
     addresses = [f"10.0.0.{number}:80" for number in range(1, 6)]
-    seen = remembered_places({}, addresses, 0.0)
+    seen = recently_listed({}, addresses, 0.0)
     without_second = [item for item in addresses if item != "10.0.0.2:80"]
-    seen = remembered_places(seen, without_second, 10.0)
-    assert [rank_of(item, seen) for item in addresses] == [0, 1, 2, 3, 4]
-    seen = remembered_places(seen, without_second, 31.0)
-    assert [rank_of(item, seen) for item in without_second] == [0, 1, 2, 3]
-    assert rank_of("10.0.0.2:80", seen) == 0
+    seen = recently_listed(seen, without_second, 10.0)
+    assert [engine_rank(item, seen) for item in addresses] == [0, 1, 2, 3, 4]
+    seen = recently_listed(seen, without_second, 31.0)
+    assert [engine_rank(item, seen) for item in without_second] == [0, 1, 2, 3]
+    assert engine_rank("10.0.0.2:80", seen) == 0
 
 
 def test_an_engine_that_missed_its_turn_loads_at_the_next_version() -> None:
--- a/pistachioglade/decisions/tests/test_store_outage.py
+++ b/pistachioglade/decisions/tests/test_store_outage.py
@@ -56,9 +56,9 @@
     outage = StoreOutage()
     for begun_s, ended_s, is_answered in calls:
         if is_answered:
-            outage.answered(begun_s, ended_s)
+            outage.record_answer(begun_s, ended_s)
         else:
-            outage.unanswered(begun_s, ended_s)
+            outage.record_unanswered(begun_s, ended_s)
     assert outage.age_s(at_s) == (
         None if expected_s is None else pytest.approx(expected_s)
     )
--- a/pistachioglade/decisions/tests/test_tables.py
+++ b/pistachioglade/decisions/tests/test_tables.py
@@ -8,9 +8,9 @@
 from .. import (
     VersionPace,
     fingers,
-    hold_s,
     is_fresh,
     may_retry,
+    step_hold_s,
     wave_delay_s,
     will_be_fresh,
 )
@@ -114,4 +114,4 @@
 def test_a_step_is_held_for_weights_that_are_due_soon(
     pace: VersionPace, now_s: float, expected_s: float
 ) -> None:
-    assert hold_s(pace, now_s) == pytest.approx(expected_s)
+    assert step_hold_s(pace, now_s) == pytest.approx(expected_s)
--- a/pistachioglade/entry/_calls.py
+++ b/pistachioglade/entry/_calls.py
@@ -100,7 +100,7 @@
     async def run(self, call: RunCall) -> CallAnswer | Refusal:
         """Run a call without a key; retry at another agent only if that is safe."""
         deadline_s = time.monotonic() + call.budget_s
-        self._budget.first_try()
+        self._budget.count_first_try()
         tried: list[str] = []
         last = refuse(ErrorKind.NO_UPSTREAM, f"no agent of {call.upstream} is known")
         while len(tried) < _MAX_TRIES:
@@ -115,7 +115,7 @@
             remaining_s = deadline_s - time.monotonic()
             if not may_retry(last, call.idempotent, remaining_s):
                 return last
-            if not self._budget.take():
+            if not self._budget.spend_retry():
                 return last
         return last
 
@@ -123,14 +123,14 @@
         self, call: RunCall, agent: str, deadline_s: float
     ) -> CallAnswer | Refusal:
         chooser = self._chooser(call.upstream)
-        chooser.sent(agent)
+        chooser.record_sent(agent)
         started_s = time.monotonic()
         result = await self._send(call, agent, deadline_s)
         now_s = time.monotonic()
         if isinstance(result, CallAnswer):
-            chooser.answered(agent, now_s - started_s, now_s)
+            chooser.record_answer(agent, now_s - started_s, now_s)
         else:
-            chooser.failed(agent, now_s)
+            chooser.record_failure(agent, now_s)
         return result
 
     async def _send(
--- a/pistachioglade/forwarding/_fleet_view.py
+++ b/pistachioglade/forwarding/_fleet_view.py
@@ -8,14 +8,14 @@
 import attrs
 
 from ..decisions import (
-    ABSENT_S,
+    ABSENT_EXCLUSION_S,
     FULL_POLICY,
     InstanceRecord,
     InstanceRun,
     Mechanism,
     Policy,
+    classify_run,
     may_have_lapsed,
-    run_of,
     should_read_list,
 )
 from ..errors import ErrorKind, Refusal, refuse
@@ -122,7 +122,7 @@
         known = self.instances.get(entry.name)
         run = InstanceRun.KNOWN
         if not isinstance(decoded, Refusal) and known is not None:
-            run = run_of(known.born_ms, decoded.born_ms)
+            run = classify_run(known.born_ms, decoded.born_ms)
             decoded = _check_run(decoded, run) or decoded
         if isinstance(decoded, Refusal):
             self._log.error("instance-refused", reason=decoded.reason)
@@ -148,7 +148,7 @@
             self.records[decoded.id] = InstanceRecord(
                 decoded.domain,
                 decoded.slots,
-                may_rest=self._uses_cooldowns,
+                has_cooldowns=self._uses_cooldowns,
                 has_answered=False,
             )
             self.pools[decoded.id] = Pool(decoded.host, decoded.port)
@@ -233,7 +233,10 @@
         if instance.is_leaving or instance.id in self._unreadable:
             return False
         absent_since_s = self._absent_since_s.get(instance.id)
-        if absent_since_s is not None and self._now_s() - absent_since_s < ABSENT_S:
+        if (
+            absent_since_s is not None
+            and self._now_s() - absent_since_s < ABSENT_EXCLUSION_S
+        ):
             return False
         return instance.id not in self._lapsed_since_s or may_have_lapsed(
             self._outage_age_s()
@@ -267,22 +270,22 @@
         """Record how many samples of another owner's jobs run on each engine."""
         now_s = self._now_s()
         for instance_id, record in self.records.items():
-            record.told.pop(owner, None)
+            record.owner_reports.pop(owner, None)
             count = by_engine.get(instance_id, 0)
             if count > 0:
-                record.told[owner] = count, now_s
+                record.owner_reports[owner] = count, now_s
 
     def mark_absent(self, handle: InstanceHandle) -> None:
         """Stop sending to an instance at whose address another instance answers.
 
         The instance is used again when a newer entry lists it, when it answers, or when
-        ``ABSENT_S`` have passed.
+        ``ABSENT_EXCLUSION_S`` have passed.
         """
         if self.records.get(handle.id) is not handle.record:
             return
         now_s = self._now_s()
         since_s = self._absent_since_s.get(handle.id, float("-inf"))
-        if now_s - since_s < ABSENT_S:
+        if now_s - since_s < ABSENT_EXCLUSION_S:
             return
         self._absent_since_s[handle.id] = now_s
         handle.record.has_answered = False
--- a/pistachioglade/forwarding/_forward.py
+++ b/pistachioglade/forwarding/_forward.py
@@ -101,7 +101,7 @@
         tried: list[str] = []
         may_have_run = False
         failures = 0
-        self._budget.first_try()
+        self._budget.count_first_try()
         last: Response | Refusal = refuse(ErrorKind.NO_UPSTREAM, "no instance")
         while True:
             now_s = loop.time()
@@ -147,7 +147,7 @@
                 policy, len(tried), did_not_run, remaining_s
             ):
                 break
-            if not self._budget.take():
+            if not self._budget.spend_retry():
                 self._log.info("retry-budget-spent", request=call.request_id)
                 break
         final = final_answer(last, may_have_run, call, loop.time())
@@ -172,7 +172,7 @@
     return (
         handle.instance
         for handle in view.open_handles(upstream)
-        if not handle.record.is_resting(now_s)
+        if not handle.record.is_in_cooldown(now_s)
     )
 
 
--- a/pistachioglade/forwarding/_stream.py
+++ b/pistachioglade/forwarding/_stream.py
@@ -112,7 +112,7 @@
         tried: list[str] = []
         may_have_run = False
         last: Response | Refusal = refuse(ErrorKind.NO_UPSTREAM, "no instance")
-        self._budget.first_try()
+        self._budget.count_first_try()
         while True:
             handle = choose_instance(self._view, upstream, tried, self._domain)
             if handle is None or call.deadline_s <= loop.time():
@@ -138,7 +138,7 @@
                 policy, len(tried), did_not_run, remaining_s
             ):
                 break
-            if not self._budget.take():
+            if not self._budget.spend_retry():
                 self._log.info("retry-budget-spent", request=call.request_id)
                 break
         if progress.is_begun:
@@ -191,7 +191,7 @@
         loop = asyncio.get_running_loop()
         connection = await pool.acquire(CONNECT_TIMEOUT_S)
         if isinstance(connection, Refusal):
-            handle.record.failed(loop.time())
+            handle.record.record_failure(loop.time())
             return connection
         head: ResponseHead | None = None
         answer: Response | Refusal | None = None
--- a/pistachioglade/forwarding/_upstream_call.py
+++ b/pistachioglade/forwarding/_upstream_call.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from ..decisions import InstanceRefusal, kind_of_refusal
+from ..decisions import InstanceRefusal, classify_refusal
 from ..errors import ErrorKind, Refusal, refuse
 from ..http1 import CONNECT_TIMEOUT_S, Request, Response, ResponseHead
 from ..platform import (
@@ -109,14 +109,14 @@
     record = handle.record
     load = None if head is None else instance_load(head)
     if load is not None:
-        record.told_load(load.running, load.waiting, now_s)
+        record.record_load_report(load.running, load.waiting, now_s)
     if fault is None:
-        record.answered()
+        record.record_answer()
         view.note_present(handle)
     elif fault.kind is ErrorKind.OVERLOADED and head is not None:
         note_refusal(view, handle, head, now_s)
     else:
-        record.failed(now_s)
+        record.record_failure(now_s)
 
 
 def note_refusal(
@@ -132,9 +132,9 @@
     """
     load = instance_load(head)
     free_slots = None if load is None else load.slots - load.running - load.waiting
-    kind = kind_of_refusal(is_misdirected(head), False, free_slots)
+    kind = classify_refusal(is_misdirected(head), False, free_slots)
     if kind is InstanceRefusal.ABSENT:
         view.mark_absent(handle)
     else:
-        handle.record.refused(kind, now_s, model)
+        handle.record.record_refusal(kind, now_s, model)
     return kind
--- a/pistachioglade/forwarding/tests/test_fleet_view.py
+++ b/pistachioglade/forwarding/tests/test_fleet_view.py
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(
-    ("returned_s", "removed_s", "at_s", "is_open"),
+    ("ended_s", "removed_s", "at_s", "is_open"),
     [
         # Without a recent outage the instance is removed at once.
         (None, 24.9, 24.9, False),
@@ -32,11 +32,11 @@
     ],
 )
 def test_instances_unlisted_around_an_outage_stay_open_for_a_grace_period(
-    returned_s: float | None, removed_s: float, at_s: float, is_open: bool
+    ended_s: float | None, removed_s: float, at_s: float, is_open: bool
 ) -> None:
     async def work() -> None:
         now_s = 0.0
-        outage = StoreOutage(returned_s=returned_s)
+        outage = StoreOutage(ended_s=ended_s)
         view = FleetView(lambda: outage.age_s(now_s))
         view._now_s = lambda: now_s  # type: ignore[method-assign]
         view.take_instance(_ENTRY, False)
@@ -142,15 +142,15 @@
     async def work() -> None:
         view = FleetView(lambda: None)
         view.take_instance(Entry("i-1", 1, _entry_value(5, 3), None), False)
-        view.records["i-1"].failed(100.0)
-        view.records["i-1"].told_load(7, 1, 100.0)
+        view.records["i-1"].record_failure(100.0)
+        view.records["i-1"].record_load_report(7, 1, 100.0)
         pool = view.pools["i-1"]
         connection = ClientConnection()
         pool._busy.add(connection)
         view.take_instance(Entry("i-1", 2, _entry_value(6, 1), None), False)
         assert connection.is_closed
         assert view.pools["i-1"] is not pool
-        assert not view.records["i-1"].is_resting(100.0)
+        assert not view.records["i-1"].is_in_cooldown(100.0)
         assert view.records["i-1"].load(100.0) == 0
 
     run(work)
--- a/pistachioglade/jobs/_eligible_instances.py
+++ b/pistachioglade/jobs/_eligible_instances.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from ..decisions import InstanceRecord, usual_pace_s
+from ..decisions import InstanceRecord, median_gap_s
 from ..forwarding import FleetView, InstanceHandle
 
 
@@ -77,7 +77,7 @@
         }
         records = (handle.record for handle in instances.values())
         return EligibleInstances(
-            instances, with_room, usual_pace_s(records, self._now_s)
+            instances, with_room, median_gap_s(records, self._now_s)
         )
 
     def _meets(self, handle: InstanceHandle, requirement: Requirement) -> bool:
@@ -87,7 +87,9 @@
 
     def _has_room(self, handle: InstanceHandle) -> bool:
         record = handle.record
-        return record.room(self._now_s) > 0 and not record.is_resting(self._now_s)
+        return record.sample_capacity(self._now_s) > 0 and not record.is_in_cooldown(
+            self._now_s
+        )
 
     def record_start(self, handle: InstanceHandle) -> None:
         """Drop an instance that a started sample leaves without room."""
--- a/pistachioglade/jobs/_result_writer.py
+++ b/pistachioglade/jobs/_result_writer.py
@@ -11,10 +11,10 @@
 import attrs
 
 from ..decisions import (
+    AdaptiveTimeout,
     Mechanism,
     Policy,
     StepProgress,
-    TryTime,
     fitting_count,
     write_time_s,
 )
@@ -199,7 +199,7 @@
         number = state.next_batch_number
         name = str(RecordName(state.id, RecordKind.BATCH, number))
         tried_tags: set[str] = set()
-        try_time = TryTime()
+        try_time = AdaptiveTimeout()
         while state.next_batch_number == number and self._unwritten:
             finished, batch = self._next_batch()
             tried_tags.add(batch.writer)
--- a/pistachioglade/jobs/_sample_scheduler.py
+++ b/pistachioglade/jobs/_sample_scheduler.py
@@ -143,7 +143,7 @@
         sample.is_waiting = False
         sample.running_at = handle.id
         record.outstanding += 1
-        record.sent(run.job.model, asyncio.get_running_loop().time())
+        record.record_sent(run.job.model, asyncio.get_running_loop().time())
         task = run.spawn(self._run_sample(run, sample, handle))
 
         def release_instance(task: asyncio.Task[None]) -> None:
--- a/pistachioglade/jobs/_sample_try.py
+++ b/pistachioglade/jobs/_sample_try.py
@@ -158,7 +158,7 @@
     @property
     def time_left_s(self) -> float:
         """Time until the text has the most events allowed; infinity if unknown."""
-        gap_s = self._record.event_gap_s
+        gap_s = self._record.mean_gap_s
         if self._max_events is None or gap_s is None or not self._text.parts:
             return float("inf")
         return (self._max_events - len(self._text.parts)) * gap_s
@@ -174,9 +174,9 @@
             return TryResult(TryEnd.MOVED, result.reason)
         now_s = asyncio.get_running_loop().time()
         if result.end in (TryEnd.BROKEN, TryEnd.UNREACHED):
-            self._record.failed(now_s)
+            self._record.record_failure(now_s)
         elif result.end is TryEnd.COMPLETE:
-            self._record.answered(self._model)
+            self._record.record_answer(self._model)
             self._view.note_present(self._handle)
         return result
 
@@ -210,7 +210,7 @@
 
     def _record_answer(self) -> None:
         had_answered = self._record.has_answered
-        self._record.loaded(self._model)
+        self._record.record_model_loaded(self._model)
         self._view.note_present(self._handle)
         if not had_answered and self._on_first_answer is not None:
             self._on_first_answer()
@@ -219,7 +219,7 @@
         load = instance_load(head)
         if load is not None:
             now_s = asyncio.get_running_loop().time()
-            self._record.told_load(load.running, load.waiting, now_s)
+            self._record.record_load_report(load.running, load.waiting, now_s)
 
     def _check_head(self, head: ResponseHead) -> TryResult | None:
         if not belongs_to(head, self._item.id):
@@ -293,5 +293,5 @@
     def _record_event_gap(self, event: StreamEvent) -> None:
         now_s = asyncio.get_running_loop().time()
         if self._last_event_s is not None:
-            self._record.paced(now_s - self._last_event_s, now_s)
+            self._record.record_event_gap(now_s - self._last_event_s, now_s)
         self._last_event_s = now_s
--- a/pistachioglade/jobs/tests/test_passing_on.py
+++ b/pistachioglade/jobs/tests/test_passing_on.py
@@ -159,7 +159,7 @@
         begun.text.parts, begun.text.last_event = ["x"], 0
         view.take_instance(instance_entry_of("one"), False)
         # An instance that has never answered gets a single sample at a time.
-        view.records["one"].answered()
+        view.records["one"].record_answer()
         scheduler.is_enabled = True
         scheduler.start_waiting_samples()
         running = {
--- a/pistachioglade/jobs/tests/test_replaced_instances.py
+++ b/pistachioglade/jobs/tests/test_replaced_instances.py
@@ -119,7 +119,7 @@
         record = scene.view.records[engine.id]
         now_s = asyncio.get_running_loop().time
         await eventually(lambda: record.is_loading("m", now_s()))
-        assert not record.is_resting(now_s())
+        assert not record.is_in_cooldown(now_s())
         assert not record.is_loading("other", now_s())
         await asyncio.sleep(1.0)
         # Only one sample at a time tries whether the load is over.
--- a/pistachioglade/jobs/tests/test_scheduler.py
+++ b/pistachioglade/jobs/tests/test_scheduler.py
@@ -72,7 +72,7 @@
         scheduler = SampleScheduler(view, Forwarder(view, "a"), Metrics(), runs)
         runs["job"] = run_of(JobLedger(), 2)
         view.take_instance(instance_entry_of("gone"), False)
-        view.records["gone"].answered()
+        view.records["gone"].record_answer()
         scheduler.is_enabled = True
         scheduler.start_waiting_samples()
         samples = list(runs["job"].samples.values())
@@ -100,7 +100,7 @@
         for name in ("one", "two", "three"):
             view.take_instance(instance_entry_of(name), False)
             # An instance that has never answered gets a single sample at a time.
-            view.records[name].answered()
+            view.records[name].record_answer()
         scheduler.is_enabled = True
         scheduler.start_waiting_samples()
         placed = [sample.running_at for sample in runs["job"].samples.values()]
--- a/pistachioglade/quarantine/_guard.py
+++ b/pistachioglade/quarantine/_guard.py
@@ -6,7 +6,7 @@
 from contextlib import contextmanager
 from functools import cached_property
 
-from ..decisions import Admission, Verdict
+from ..decisions import Admission, AdmissionDecision
 from ..errors import ErrorKind, Refusal, refuse
 from ..fleet import Instance
 from ..http1 import Request
@@ -70,6 +70,6 @@
     return f"{instance.id}@{instance.born_ms}"
 
 
-def _refusal(verdict: Verdict) -> Refusal:
+def _refusal(verdict: AdmissionDecision) -> Refusal:
     reason = verdict.reason or "a trial run of this request is in progress"
     return refuse(ErrorKind.QUARANTINED, reason, verdict.wait_s or None)
--- a/pistachioglade/quarantine/_ledger.py
+++ b/pistachioglade/quarantine/_ledger.py
@@ -10,11 +10,11 @@
 import attrs
 
 from ..decisions import (
+    AdmissionDecision,
     CrashHistory,
-    Verdict,
+    decide_admission,
     history_retention_s,
     is_quarantined,
-    judge_request,
 )
 from ..logs import logger
 
@@ -119,7 +119,9 @@
         """Return the digests whose records in the store are out of date."""
         return [name for name, record in self._records.items() if record.is_unwritten]
 
-    def decide_admission(self, digest: str, open_instances: Collection[str]) -> Verdict:
+    def decide_admission(
+        self, digest: str, open_instances: Collection[str]
+    ) -> AdmissionDecision:
         """Return the admission decision for a request.
 
         ``open_instances`` are the instances of the upstream that can run the request.
@@ -133,7 +135,7 @@
             self._now_s() - record.changed_s,
             record.running > 0,
         )
-        return judge_request(history, remaining)
+        return decide_admission(history, remaining)
 
     async def _claim_locally(self, digest: str) -> bool:
         """Claim a trial run when records aren't shared through the store."""
--- a/pistachioglade/serving/_engine_program.py
+++ b/pistachioglade/serving/_engine_program.py
@@ -7,7 +7,7 @@
 import signal
 from typing import Any, Final
 
-from ..decisions import FULL_POLICY, Mechanism, Policy, rank_of, remembered_places
+from ..decisions import FULL_POLICY, Mechanism, Policy, engine_rank, recently_listed
 from ..errors import ErrorKind, Refusal, refuse
 from ..fleet import Instance
 from ..http1 import Pool
@@ -185,7 +185,7 @@
                 for item in listed
                 if item.upstream == own_instances[0].upstream
             ]
-            self._last_listed_s = remembered_places(self._last_listed_s, peers, now_s)
-            self._last_rank = rank_of(str(engine), self._last_listed_s)
+            self._last_listed_s = recently_listed(self._last_listed_s, peers, now_s)
+            self._last_rank = engine_rank(str(engine), self._last_listed_s)
             self._ranked_s = now_s
         return self._last_rank
--- a/pistachioglade/serving/_entry_program.py
+++ b/pistachioglade/serving/_entry_program.py
@@ -12,7 +12,7 @@
 
 from ..decisions import (
     FULL_POLICY,
-    RELAY_GATHER_PART,
+    RELAY_GATHER_FRACTION,
     RETRY_PERCENT,
     Mechanism,
     Policy,
@@ -273,7 +273,7 @@
         if has_jobs:
             return _INSTANCES_GATHER_WITH_JOBS_S
         is_relay = self._watch_relays.is_relay
-        fraction = RELAY_GATHER_PART if is_relay else _INSTANCES_GATHER_FRACTION
+        fraction = RELAY_GATHER_FRACTION if is_relay else _INSTANCES_GATHER_FRACTION
         return fraction * self._settings.drain_s
 
     async def _follow_instances(
--- a/pistachioglade/serving/_members.py
+++ b/pistachioglade/serving/_members.py
@@ -12,8 +12,8 @@
     FULL_POLICY,
     Mechanism,
     Policy,
-    attendant_of,
     engines_of_others,
+    fallback_entry_of,
     home_of,
     homes_of,
 )
@@ -216,7 +216,7 @@
             if self._is_reachable(name) and not (self.is_leaving and name == self.node)
         )
         address = f"{instance.host}:{instance.port}"
-        return attendant_of(address, reachable) or self.node
+        return fallback_entry_of(address, reachable) or self.node
 
     def is_announcer(self, upstream: str, model: str) -> bool:
         """Whether this entry announces a model's versions."""
--- a/pistachioglade/serving/_store_ways.py
+++ b/pistachioglade/serving/_store_ways.py
@@ -9,10 +9,10 @@
 
 from ..decisions import (
     FULL_POLICY,
-    RELAY_LOOK_S,
+    RELAY_SEARCH_INTERVAL_S,
     Mechanism,
     Policy,
-    RelayWord,
+    RelayReport,
     relays_to_ask,
     relays_to_use,
 )
@@ -46,14 +46,14 @@
         self._is_enabled = policy.uses(Mechanism.ANY_RELAY)
         self._log = logger(__name__)
         # Latest report of each entry on its connection to the store, by node.
-        self._reports: dict[str, RelayWord] = {}
+        self._reports: dict[str, RelayReport] = {}
         self._has_relay = False
 
     def record_answer(self, node: str, answer: ProbeAnswer) -> None:
         """Record whether an entry reaches the store, by its answer to a probe."""
         now_s = asyncio.get_running_loop().time()
         capacity = self._members.capacity_of_node(node)
-        self._reports[node] = RelayWord(now_s, answer.reaches_store, capacity)
+        self._reports[node] = RelayReport(now_s, answer.reaches_store, capacity)
 
     async def run(self) -> None:
         """Search for relays whenever the store can't be reached, forever."""
@@ -63,7 +63,7 @@
             await self._store.wait_for_trouble()
             for attempt in count():
                 await self._probe_candidates(attempt)
-                await asyncio.sleep(RELAY_LOOK_S)
+                await asyncio.sleep(RELAY_SEARCH_INTERVAL_S)
                 if self._store.is_reached:
                     break
 
--- a/pistachioglade/serving/_watch_relays.py
+++ b/pistachioglade/serving/_watch_relays.py
@@ -8,10 +8,10 @@
 
 from ..decisions import (
     FULL_POLICY,
-    RELAY_AGE_PART,
-    RELAY_HOLD_PART,
-    RELAY_REST_S,
-    RELAY_SLACK_S,
+    RELAY_AGE_FRACTION,
+    RELAY_COOLDOWN_S,
+    RELAY_HOLD_FRACTION,
+    RELAY_TRANSFER_S,
     Mechanism,
     Policy,
     relay_for,
@@ -43,8 +43,8 @@
         self._members = members
         self._links = links
         self._store = store
-        self._hold_s = min(_LONGEST_HOLD_S, RELAY_HOLD_PART * drain_s)
-        self._age_limit_s = RELAY_AGE_PART * drain_s
+        self._hold_s = min(_LONGEST_HOLD_S, RELAY_HOLD_FRACTION * drain_s)
+        self._age_limit_s = RELAY_AGE_FRACTION * drain_s
         self._is_enabled = policy.uses(Mechanism.WATCH_RELAYS)
         self._log = logger(__name__)
         # Copies of the store's objects that followers may ask for, by kind.
@@ -85,14 +85,16 @@
             return None
         address = self._members.address_of_node(relay)
         request = FetchChanges(kind, revision, self._hold_s)
-        answer = await self._links.call(address, request, self._hold_s + RELAY_SLACK_S)
+        answer = await self._links.call(
+            address, request, self._hold_s + RELAY_TRANSFER_S
+        )
         if isinstance(answer, ChangePage):
             return _decode_changes(answer)
         assert isinstance(answer, Refusal)
         if answer.kind is ErrorKind.HISTORY_GONE:
             return answer
         now_s = asyncio.get_running_loop().time()
-        self._cooldown_until_s[relay] = now_s + RELAY_REST_S
+        self._cooldown_until_s[relay] = now_s + RELAY_COOLDOWN_S
         self._log.info("relay-left", relay=relay, kind=kind, reason=answer.reason)
         return None
 
--- a/pistachioglade/serving/tests/test_watch_relays.py
+++ b/pistachioglade/serving/tests/test_watch_relays.py
@@ -13,7 +13,7 @@
 import attrs
 import pytest
 
-from ...decisions import RELAY_GATHER_PART, relays_of
+from ...decisions import RELAY_GATHER_FRACTION, relays_of
 from ...errors import ErrorKind, Refusal, refuse
 from ...messages import ChangePage, FetchChanges
 from ...platform import Entry, names
@@ -94,7 +94,7 @@
         ]
 
     def _gather_s(self) -> float:
-        fraction = RELAY_GATHER_PART if self.relays.is_relay else 0.6
+        fraction = RELAY_GATHER_FRACTION if self.relays.is_relay else 0.6
         return fraction * DRAIN_S
 
     async def _follow(self, kind: str, revision: int) -> Any:
@@ -174,7 +174,7 @@
             at_s = now_s()
             fleet.store.put(KIND, f"i-{number}", {})
             slowest.append(await fleet.slowest_s(f"i-{number}", at_s, 1.0))
-        assert max(slowest) < RELAY_GATHER_PART * DRAIN_S + 0.1
+        assert max(slowest) < RELAY_GATHER_FRACTION * DRAIN_S + 0.1
         # Each of two relays makes at most one call for a change. The rest are watches
         # that end without a change.
         assert fleet.paid - before < 2 * 40 + NODES
--- a/pistachioglade/store/_client.py
+++ b/pistachioglade/store/_client.py
@@ -9,9 +9,9 @@
 
 from ..decisions import (
     FULL_POLICY,
+    AdaptiveTimeout,
     Policy,
     StoreOutage,
-    TryTime,
     transfer_time_s,
 )
 from ..errors import ErrorKind, Refusal, refuse
@@ -152,7 +152,7 @@
     def _record_answered(self, begun_s: float) -> None:
         """Record an answer to a call that began at ``begun_s``, by any route."""
         self.worked_s = asyncio.get_running_loop().time()
-        self._outage.answered(begun_s, self.worked_s)
+        self._outage.record_answer(begun_s, self.worked_s)
         self._answered.set()
 
     def _record_unanswered(
@@ -160,14 +160,13 @@
     ) -> None:
         """Record that a route did not answer, before the next route is tried.
 
-        Each route may use up the call's whole timeout, and the store may have recovered
-        by the time the last one fails.
+        Each route may take the full timeout, so the store may have recovered meanwhile.
         """
         if _is_answered(answer):
             return
         now_s = asyncio.get_running_loop().time()
         # A lost watch says nothing about the store during the time it was held.
-        self._outage.unanswered(now_s if call.is_watch else begun_s, now_s)
+        self._outage.record_unanswered(now_s if call.is_watch else begun_s, now_s)
 
     def renew(self) -> None:
         """Resend the watches: by another route, or to a store that has recovered."""
@@ -326,25 +325,26 @@
         name: str,
         value: Any,
         within_s: float,
-        try_time: TryTime | None = None,
+        try_time: AdaptiveTimeout | None = None,
     ) -> Entry | Refusal:
         """Create an object and return the stored one, this or an earlier one.
 
-        Retries after lost answers until ``within_s`` is over; then a refusal of kind
-        PLATFORM_UNCERTAIN says that the object may still come to exist. A caller that
-        retries passes the same ``try_time`` each time.
+        Retries lost calls for ``within_s``; then a refusal PLATFORM_UNCERTAIN says that
+        the object may still come to exist. Retries pass the same ``try_time`` again.
         """
         call = create_call(kind, name, value)
-        try_time = try_time or TryTime()
+        try_time = try_time or AdaptiveTimeout()
         deadline_s = asyncio.get_running_loop().time() + within_s
         is_uncertain = False
         while True:
             begun_s = asyncio.get_running_loop().time()
-            limit_s = try_time.limit_s(self._retryable_timeout_s)
-            answer = await self.exchange(call, limit_s)
+            timeout_s = try_time.timeout_s(self._retryable_timeout_s)
+            answer = await self.exchange(call, timeout_s)
             if isinstance(answer, Refusal):
                 has_worked = self.worked_s is not None and self.worked_s > begun_s
-                try_time.lost(has_worked and self._relayed.has_lost(call, begun_s))
+                try_time.record_lost_try(
+                    has_worked and self._relayed.has_lost(call, begun_s)
+                )
             refusal = (
                 answer if isinstance(answer, Refusal) else refusal_of(answer, True)
             )
--- a/pistachioglade/store/tests/test_thin_way.py
+++ b/pistachioglade/store/tests/test_thin_way.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from ...decisions import TryTime
+from ...decisions import AdaptiveTimeout
 from ...errors import ErrorKind, Refusal, refuse
 from ...http1 import Response
 from ...platform import Entry, StoreCall
@@ -73,7 +73,7 @@
 
 async def _write(client: StoreClient, name: str, size_bytes: int) -> float:
     """Write an object like a batch of results; return when the write succeeded."""
-    try_time = TryTime()
+    try_time = AdaptiveTimeout()
     value = {"name": name, "text": "x" * size_bytes}
     while True:
         created = await client.create("k", name, value, within_s=0.0, try_time=try_time)
--- a/pistachioglade/tasks/_supervisor.py
+++ b/pistachioglade/tasks/_supervisor.py
@@ -6,7 +6,7 @@
 import random
 from collections.abc import Awaitable, Callable
 
-from ..decisions import failures_in_a_row, is_hopeless, restart_pause_s
+from ..decisions import consecutive_failures, restart_pause_s, should_give_up
 from ..logs import logger
 from ..metrics import Metrics
 
@@ -50,17 +50,17 @@
             error = await self._run_once(work)
             if error is None and may_end:
                 return
-            failures = failures_in_a_row(failures, clock() - started_s)
+            failures = consecutive_failures(failures, clock() - started_s)
             self._metrics.task_failed(name)
             self._log.error(
                 "task-failed",
                 task=name,
                 failures=failures,
                 ran_s=round(clock() - started_s, 3),
-                is_given_up=is_hopeless(failures),
+                is_given_up=should_give_up(failures),
                 exc_info=error,
             )
-            if is_hopeless(failures):
+            if should_give_up(failures):
                 self._on_give_up()
                 return
             await asyncio.sleep(restart_pause_s(failures, self._rng.random()))
--- a/pistachioglade/trainer/_http.py
+++ b/pistachioglade/trainer/_http.py
@@ -10,7 +10,7 @@
 import attrs
 
 from ..backing import HttpReply, HttpSession
-from ..decisions import may_repeat
+from ..decisions import may_resend
 from ..errors import ANSWERS, ErrorKind, Refusal, refuse
 from ..messages import structure
 
@@ -56,7 +56,7 @@
             assert refusal is not None
             is_fault = refusal.kind is ErrorKind.INTERNAL
             consecutive_faults = consecutive_faults + 1 if is_fault else 0
-            if not may_repeat(refusal, consecutive_faults):
+            if not may_resend(refusal, consecutive_faults):
                 return refusal
             # Also after the last try, so that the next request goes to another entry.
             self._url = next(self._url_cycle)
--- a/pistachioglade/weights/_unattended.py
+++ b/pistachioglade/weights/_unattended.py
@@ -13,8 +13,8 @@
     FULL_POLICY,
     Mechanism,
     Policy,
-    rank_of,
-    remembered_places,
+    engine_rank,
+    recently_listed,
 )
 from ..errors import ErrorKind, Refusal, refuse
 from ..fleet import Instance
@@ -191,9 +191,9 @@
         )
         now_s = asyncio.get_running_loop().time()
         previous_s = self._last_listed_s.get(upstream, {})
-        last_listed_s = remembered_places(previous_s, listed, now_s)
+        last_listed_s = recently_listed(previous_s, listed, now_s)
         self._last_listed_s[upstream] = last_listed_s
-        return rank_of(address, last_listed_s)
+        return engine_rank(address, last_listed_s)
 
     async def _run_orders(self, engine: _Engine) -> None:
         """Order an engine until it leaves, is idle or is ordered by another process."""
