--- a/pistachioglade/agent/_owner.py
+++ b/pistachioglade/agent/_owner.py
@@ -9,7 +9,7 @@
 
 from ..config import AgentSettings, Trainer, Weighing
 from ..controllers import CONFIG, NEWEST, Node
-from ..decisions import FinishedStep, VersionPace, step_hold_s, steps_to_forget
+from ..decisions import FinishedStep, VersionPace, step_hold_s, steps_to_evict
 from ..errors import ErrorKind, Refusal, refuse
 from ..messages import (
     FetchSamples,
@@ -171,7 +171,7 @@
             for step, run in runs.items()
             if run.plan.is_complete
         )
-        for step in steps_to_forget(finished):
+        for step in steps_to_evict(finished):
             runs.pop(step).close()
             self._forgotten.setdefault(trainer, set()).add(step)
             _log.info("step.forgotten", trainer=trainer, step=step)
--- a/pistachioglade/agent/_owner_lease.py
+++ b/pistachioglade/agent/_owner_lease.py
@@ -104,9 +104,11 @@
 
     def _is_free(self, value: LeaseValue, now_s: float) -> bool:
         own = self._node.settings.node
-        if value.owner in ("", own, self._unreachable_owner) or self._observer.lapsed(
-            self._lease_s, now_s
-        ):
+        if value.owner in (
+            "",
+            own,
+            self._unreachable_owner,
+        ) or self._observer.has_expired(self._lease_s, now_s):
             return True
         member = self._node.board.read(MEMBERS).get(value.owner)
         if member is None:
--- a/pistachioglade/agent/_scheduler.py
+++ b/pistachioglade/agent/_scheduler.py
@@ -143,7 +143,7 @@
     def release_rollout(self, instance: str, trainer: str, tokens: int) -> None:
         """Free a rollout's slot and charge its tokens to the trainer."""
         self._slots.release_rollout(instance)
-        self.rollouts.finished(trainer, tokens)
+        self.rollouts.record_finished(trainer, tokens)
         self.assign_slots()
 
     def withdraw(self, waiting: WaitingRollout, refusal: Refusal) -> None:
@@ -216,7 +216,7 @@
             if name is None:
                 return
             waiting = self._fifo_rollouts.popleft()
-            self.rollouts.started(waiting.trainer)
+            self.rollouts.record_started(waiting.trainer)
             waiting.slot.set_result(name)
 
     def _fresh_instances(self, waiting: WaitingRollout) -> list[str]:
--- a/pistachioglade/agent/_step_run.py
+++ b/pistachioglade/agent/_step_run.py
@@ -51,12 +51,12 @@
     """Return the step policy of a trainer under a declared policy."""
     if policy.name != "fair":
         placement = PlacementPolicy(group_affinity=False, backlog_factor=1.5)
-        return StepPolicy(placement, longest_first=False, hedge_part=0.0)
-    hedge_part = policy.hedge_percent / 100.0
+        return StepPolicy(placement, longest_first=False, hedge_fraction=0.0)
+    hedge_fraction = policy.hedge_percent / 100.0
     if policy.weighing is Weighing.STALENESS:
-        hedge_part /= 2
+        hedge_fraction /= 2
     placement = PlacementPolicy(share_fraction=share_percent / 100.0)
-    return StepPolicy(placement, hedge_part=hedge_part)
+    return StepPolicy(placement, hedge_fraction=hedge_fraction)
 
 
 class StepRun:
@@ -90,7 +90,7 @@
         sizes = [group.sample_count for group in message.groups]
         key = f"{message.trainer}/{message.step}"
         self.plan = StepPlan(key, sizes, policy)
-        self.plan.receive(message.receipts)
+        self.plan.record_receipts(message.receipts)
         self._newest_version = message.newest_version
         self._opened_unix_s = time.time() - message.age_s
         self._wake = node.board.signal(MEMBERS, NEWEST)
@@ -117,7 +117,7 @@
         """Replace the receipts when a trainer opens the step again."""
         self._client_id = message.client_id
         self._newest_version = max(self._newest_version, message.newest_version)
-        for index in self.plan.restore(message.receipts):
+        for index in self.plan.restore_receipts(message.receipts):
             self._cancel_everywhere(index)
         self._update_record()
         self._signal_change()
@@ -151,14 +151,14 @@
     def _release_dead_agents(self) -> None:
         """Release the samples of suspected or dead agents, to start them elsewhere."""
         members = self._node.board.read(MEMBERS)
-        for agent in self.plan.outstanding():
+        for agent in self.plan.running_by_agent():
             member = members.get(agent)
             if member is None or member.state in (
                 MemberState.SUSPECT,
                 MemberState.DEAD,
             ):
-                for index in self.plan.running_at(agent):
-                    self.plan.fail(agent, index)
+                for index in self.plan.samples_running_at(agent):
+                    self.plan.record_failure(agent, index)
 
     def _update_newest_version(self, trainer: Trainer) -> int:
         published = self._node.board.read(NEWEST).get(trainer.model)
@@ -172,7 +172,7 @@
             return
         bound = trainer.staleness_bound_versions
         self._count_waste(
-            self.plan.drop_stale(self._update_newest_version(trainer), bound)
+            self.plan.discard_stale(self._update_newest_version(trainer), bound)
         )
 
     def _count_waste(self, samples: tuple[Sample, ...]) -> None:
@@ -249,12 +249,12 @@
     def _finish(self, agent: str, sample: Sample) -> None:
         if self.plan.has_copy(sample.index):
             self._wasted_tokens["hedged"] += sample.token_count
-        for loser in self.plan.finish(agent, sample, time.monotonic()):
+        for loser in self.plan.record_finished(agent, sample, time.monotonic()):
             self._cancel(loser, sample.index)
         self._drop_stale()
 
     def _fail(self, agent: str, index: int, refusal: Refusal) -> None:
-        self.plan.fail(agent, index)
+        self.plan.record_failure(agent, index)
         if refusal.kind is ErrorKind.CANCELLED:
             return
         self._refusals[refusal.kind.value] += 1
@@ -283,12 +283,12 @@
         self._node.spawn(call)
 
     def _cancel_everywhere(self, index: int) -> None:
-        for agent in tuple(self.plan.outstanding()):
-            if index in self.plan.running_at(agent):
+        for agent in tuple(self.plan.running_by_agent()):
+            if index in self.plan.samples_running_at(agent):
                 self._cancel(agent, index)
 
     def _receive(self, receipts: tuple[Receipt, ...]) -> None:
-        for index in self.plan.receive(receipts):
+        for index in self.plan.record_receipts(receipts):
             self._cancel_everywhere(index)
         if receipts:
             self._update_record()
@@ -321,17 +321,17 @@
             return refuse(ErrorKind.UNKNOWN_STEP, reason)
         self._newest_version = max(self._newest_version, message.newest_version)
         self._receive(message.receipts)
-        self._count_waste(self.plan.reject(message.rejected))
+        self._count_waste(self.plan.discard_rejected(message.rejected))
         if message.rejected:
             self._signal_change()
         deadline_s = time.monotonic() + message.wait_s
         while True:
             self._drop_stale()
-            samples = self.plan.ready(message.max_samples)
+            samples = self.plan.ready_samples(message.max_samples)
             is_over = self._closed or time.monotonic() >= deadline_s
             if samples or self.plan.is_complete:
                 return self._batch(samples)
-            if self._final_refusal is not None and not self.plan.has_running:
+            if self._final_refusal is not None and not self.plan.has_running_copies:
                 return self._final_refusal
             if is_over:
                 return self._batch(samples)
--- a/pistachioglade/controllers/_membership.py
+++ b/pistachioglade/controllers/_membership.py
@@ -193,13 +193,15 @@
             return
         silent_s = time.monotonic() - self._last_heard_s[peer.node]
         if silent_s >= self._settings.suspect_after_s:
-            record = self._table.suspect(peer.node, time.monotonic())
+            record = self._table.mark_suspect(peer.node, time.monotonic())
             if record is not None:
                 _log.warning("member.suspected", member=peer.node)
                 self._queue_changes([record])
 
     def _expire(self) -> None:
-        expired = self._table.expire(time.monotonic(), self._settings.dead_after_s)
+        expired = self._table.expire_suspects(
+            time.monotonic(), self._settings.dead_after_s
+        )
         for record in expired:
             _log.warning("member.dead", member=record.node)
             self._last_heard_s.pop(record.node, None)
--- a/pistachioglade/decisions/__init__.py
+++ b/pistachioglade/decisions/__init__.py
@@ -13,9 +13,9 @@
     try_time_s,
 )
 from ._checkpoints import (
-    LEAST_SAVED_EVENTS,
-    save_interval_s,
-    should_save,
+    MIN_CHECKPOINT_EVENTS,
+    checkpoint_interval_s,
+    should_checkpoint,
 )
 from ._choice import CallChooser, Candidate, ChooserSettings
 from ._crash_quarantine import (
@@ -33,6 +33,21 @@
     first_order_wait_s,
     may_take_orders,
 )
+from ._failover import (
+    ENTRY_CALL_TIMEOUT_S,
+    LATE_ANSWER_TIMEOUT_S,
+    NEIGHBOUR_ANSWER_WAIT_S,
+    PROBE_INTERVAL_S,
+    NeighbourView,
+    has_lost_store,
+    is_lost,
+    is_store_fresh,
+    neighbour_of,
+    probe_interval_s,
+    should_remove_listing,
+    should_reopen_link,
+    successor_of,
+)
 from ._fairness import FairQueue
 from ._hashing import rendezvous_order, stable_hash
 from ._instance_choice import (
@@ -50,9 +65,14 @@
     should_read_list,
 )
 from ._instance_runs import InstanceRun, classify_run
-from ._job_home import capacity_of, engines_of_others, home_of, homes_of
-from ._job_retention import may_forget
-from ._kept_steps import FinishedStep, steps_to_forget
+from ._job_owner import (
+    choose_job_owner,
+    engines_preferred_by_others,
+    entry_capacity,
+    owner_candidates,
+)
+from ._job_retention import has_retention_expired
+from ._kept_steps import FinishedStep, steps_to_evict
 from ._keys import Attach, KeyGate, Replay, Run
 from ._lease import LeaseObserver
 from ._membership import BUCKET_COUNT, Membership
@@ -73,8 +93,8 @@
 from ._restarts import consecutive_failures, restart_pause_s, should_give_up
 from ._result_batches import (
     StepProgress,
-    fitting_count,
-    write_time_s,
+    count_fitting,
+    next_write_s,
 )
 from ._retry import RetryBudget, may_resend, may_retry, should_give_up_sample
 from ._ring import fingers
@@ -83,21 +103,6 @@
 from ._step import Dispatch, StepPlan, StepPolicy
 from ._store_calls import AdaptiveTimeout, transfer_time_s
 from ._store_outage import StoreOutage, may_have_lapsed
-from ._takeover import (
-    LATE_ANSWER_S,
-    NEIGHBOUR_TIMEOUT_S,
-    PROBE_INTERVAL_S,
-    PROBE_TIMEOUT_S,
-    NeighbourView,
-    heir_of,
-    is_lost,
-    is_store_fresh,
-    is_storeless,
-    neighbour_of,
-    probe_interval_s,
-    should_reopen_link,
-    should_strike_off,
-)
 from ._transfer import fetch_sources, wave_delay_s
 from ._watch_relays import (
     RELAY_AGE_FRACTION,
@@ -113,14 +118,14 @@
 __all__ = [
     "ABSENT_EXCLUSION_S",
     "BUCKET_COUNT",
+    "ENTRY_CALL_TIMEOUT_S",
     "FULL_POLICY",
-    "LATE_ANSWER_S",
-    "LEAST_SAVED_EVENTS",
+    "LATE_ANSWER_TIMEOUT_S",
     "MAX_LAG_VERSIONS",
-    "NEIGHBOUR_TIMEOUT_S",
+    "MIN_CHECKPOINT_EVENTS",
+    "NEIGHBOUR_ANSWER_WAIT_S",
     "ORDER_WINDOW_S",
     "PROBE_INTERVAL_S",
-    "PROBE_TIMEOUT_S",
     "RELAY_AGE_FRACTION",
     "RELAY_COOLDOWN_S",
     "RELAY_GATHER_FRACTION",
@@ -163,31 +168,30 @@
     "StepProgress",
     "StoreOutage",
     "VersionPace",
-    "capacity_of",
+    "checkpoint_interval_s",
     "choose_for_call",
     "choose_for_sample",
+    "choose_job_owner",
     "classify_refusal",
     "classify_run",
     "consecutive_failures",
+    "count_fitting",
     "decide_admission",
     "engine_rank",
-    "engines_of_others",
+    "engines_preferred_by_others",
+    "entry_capacity",
     "fallback_entry_of",
     "fetch_sources",
     "fingers",
     "first_order_wait_s",
-    "fitting_count",
-    "heir_of",
+    "has_lost_store",
+    "has_retention_expired",
     "history_retention_s",
-    "home_of",
-    "homes_of",
     "is_fresh",
     "is_lost",
     "is_quarantined",
     "is_slow",
     "is_store_fresh",
-    "is_storeless",
-    "may_forget",
     "may_have_lapsed",
     "may_resend",
     "may_retry",
@@ -195,6 +199,8 @@
     "may_try_again",
     "median_gap_s",
     "neighbour_of",
+    "next_write_s",
+    "owner_candidates",
     "parse_policy",
     "probe_interval_s",
     "recently_listed",
@@ -206,24 +212,23 @@
     "rendezvous_order",
     "restart_pause_s",
     "sample_pause_s",
-    "save_interval_s",
+    "should_checkpoint",
     "should_give_up",
     "should_give_up_sample",
     "should_load",
     "should_move",
     "should_read_list",
+    "should_remove_listing",
     "should_reopen_link",
-    "should_save",
-    "should_strike_off",
     "slow_agents",
     "stable_hash",
     "start_order",
     "step_hold_s",
-    "steps_to_forget",
+    "steps_to_evict",
     "stream_silence_s",
+    "successor_of",
     "transfer_time_s",
     "try_time_s",
     "wave_delay_s",
     "will_be_fresh",
-    "write_time_s",
 ]
--- a/pistachioglade/decisions/_checkpoints.py
+++ b/pistachioglade/decisions/_checkpoints.py
@@ -24,16 +24,16 @@
 _MIN_CHANGED_EVENTS: Final = 6
 #: Events that a sample needs to be checkpointed. A shorter text is repeated within a
 #: second, long before the step's longest sample ends.
-LEAST_SAVED_EVENTS: Final = 24
+MIN_CHECKPOINT_EVENTS: Final = 24
 
 
-def save_interval_s(last_bytes: int) -> float:
+def checkpoint_interval_s(last_bytes: int) -> float:
     """Return the time to the next checkpoint after a checkpoint of ``last_bytes``."""
     wanted_s = last_bytes / _BYTES_PER_S
     return min(_MAX_INTERVAL_S, max(_MIN_INTERVAL_S, wanted_s))
 
 
-def should_save(
+def should_checkpoint(
     saved_events: Mapping[Sample, int], events: Mapping[Sample, int]
 ) -> bool:
     """Return whether texts differ enough from those of the last checkpoint.
--- a/pistachioglade/decisions/_takeover.py
+++ b/pistachioglade/decisions/_failover.py
@@ -16,15 +16,15 @@
 #: Interval between two probes of the neighbour.
 PROBE_INTERVAL_S: Final = 0.4
 #: Timeout of a short call to any other entry.
-PROBE_TIMEOUT_S: Final = 0.5
+ENTRY_CALL_TIMEOUT_S: Final = 0.5
 #: Wait for the answer to a probe of the neighbour before the next probe is sent.
-NEIGHBOUR_TIMEOUT_S: Final = 0.3
+NEIGHBOUR_ANSWER_WAIT_S: Final = 0.3
 #: Silence after which the neighbour's jobs are taken over: two missed probes. A step's
 #: longest samples leave half a second of its time, so that each tenth of a second
 #: counts.
 _LOST_AFTER_S: Final = 1.0
 #: Time after a probe of the neighbour within which a late answer still counts.
-LATE_ANSWER_S: Final = 2.0
+LATE_ANSWER_TIMEOUT_S: Final = 2.0
 #: Multiple of the recent answer time after which a slow neighbour is lost.
 _SLOW_ANSWER_FACTOR: Final = 4.0
 #: Silence after which even a slow neighbour is lost.
@@ -52,16 +52,16 @@
     """The state of the neighbour as the entry that probes it knows it."""
 
     # Time of the neighbour's last answer, or the start of the probing, in seconds.
-    heard_s: float
+    last_answer_s: float
     # Age of the store's last answer to the neighbour, in seconds, as its last probe
     # answer says; None if unknown.
     store_age_s: float | None
     # Age of the store's last answer to this entry, in seconds.
     own_store_age_s: float
     # Connections that the neighbour's machine has refused since its last answer.
-    refused: int = 0
+    refused_connections: int = 0
     # Decaying maximum of the neighbour's answer times, in seconds.
-    answer_s: float = 0.0
+    recent_answer_time_s: float = 0.0
 
 
 def neighbour_of(name: str, members: Iterable[str]) -> str | None:
@@ -71,7 +71,7 @@
     return (before or others)[-1] if others else None
 
 
-def heir_of(name: str, members: Iterable[str]) -> str | None:
+def successor_of(name: str, members: Iterable[str]) -> str | None:
     """Return the member that probes ``name`` and takes over its jobs."""
     others = sorted(member for member in members if member != name)
     behind = [member for member in others if member > name]
@@ -89,9 +89,9 @@
     A busy neighbour answers late and is not lost: its jobs would make the next entry
     as busy, and that entry's jobs would be passed on in turn.
     """
-    slow_s = min(_MAX_SILENCE_S, _SLOW_ANSWER_FACTOR * view.answer_s)
-    is_silent = now_s - view.heard_s > max(_LOST_AFTER_S, slow_s)
-    return is_silent or view.refused >= _LOST_AFTER_REFUSED
+    slow_s = min(_MAX_SILENCE_S, _SLOW_ANSWER_FACTOR * view.recent_answer_time_s)
+    is_silent = now_s - view.last_answer_s > max(_LOST_AFTER_S, slow_s)
+    return is_silent or view.refused_connections >= _LOST_AFTER_REFUSED
 
 
 def should_reopen_link(silent_s: float, since_reopened_s: float) -> bool:
@@ -104,12 +104,12 @@
     return age_s is not None and age_s < _FRESH_STORE_AGE_S
 
 
-def is_storeless(view: NeighbourView) -> bool:
+def has_lost_store(view: NeighbourView) -> bool:
     """Return whether the neighbour has lost the store while this entry reaches it."""
     return _has_lost_store(view, _STORE_LOST_AFTER_S)
 
 
-def should_strike_off(view: NeighbourView) -> bool:
+def should_remove_listing(view: NeighbourView) -> bool:
     """Return whether to remove a neighbour without the store from the list of entries.
 
     New jobs go to listed entries, and each job would wait for the neighbour's refusal.
--- a/pistachioglade/decisions/_fairness.py
+++ b/pistachioglade/decisions/_fairness.py
@@ -39,7 +39,7 @@
     def __len__(self) -> int:
         return sum(len(queue) for queue in self._waiting.values())
 
-    def waiting_of(self, trainer: str) -> int:
+    def waiting_count(self, trainer: str) -> int:
         """Return the number of waiting rollouts of a trainer."""
         return len(self._waiting[trainer])
 
@@ -81,15 +81,15 @@
     def pop(self, trainer: str) -> T:
         """Remove the next waiting rollout of a trainer and count it as started."""
         item = self._waiting[trainer].popleft()
-        self.started(trainer)
+        self.record_started(trainer)
         return item
 
-    def started(self, trainer: str) -> None:
+    def record_started(self, trainer: str) -> None:
         """Count a started rollout and charge its expected tokens."""
         self._running[trainer] += 1
         self._charge(trainer, self._expected_tokens(trainer))
 
-    def finished(self, trainer: str, tokens: int) -> None:
+    def record_finished(self, trainer: str, tokens: int) -> None:
         """Count a finished rollout and adjust the charge to its actual tokens."""
         expected = self._expected_tokens(trainer)
         self._running[trainer] -= 1
--- a/pistachioglade/decisions/_job_home.py
+++ b/pistachioglade/decisions/_job_owner.py
@@ -32,7 +32,7 @@
 _ENGINES_PER_BLOCK: Final = 2
 
 
-def capacity_of(cores: float, link_mbps: float) -> float:
+def entry_capacity(cores: float, link_mbps: float) -> float:
     """Return an entry's capacity in cores, as its processor or its link limits it."""
     return min(cores, link_mbps / _MBPS_PER_CORE)
 
@@ -46,7 +46,7 @@
     ]
 
 
-def homes_of(
+def owner_candidates(
     upstream: str, slots: int, capacities: Mapping[str, float]
 ) -> tuple[str, ...]:
     """Return the candidates for owning an upstream's jobs, as many as needed.
@@ -66,7 +66,7 @@
     return tuple(candidates)
 
 
-def home_of(
+def choose_job_owner(
     candidates: Sequence[str], models: Sequence[str], model: str, step: int
 ) -> str | None:
     """Return the owner of one job; consecutive steps of a model alternate owners."""
@@ -76,7 +76,7 @@
     return candidates[(position + step) % len(candidates)]
 
 
-def engines_of_others(
+def engines_preferred_by_others(
     candidate: str, candidates: Sequence[str], engines: Iterable[str]
 ) -> frozenset[str]:
     """Return the engines that the other candidates prefer.
--- a/pistachioglade/decisions/_job_retention.py
+++ b/pistachioglade/decisions/_job_retention.py
@@ -15,7 +15,7 @@
 _ABANDONED_FACTOR: Final = 5.0
 
 
-def may_forget(age_s: float, retention_s: float, is_ended: bool) -> bool:
+def has_retention_expired(age_s: float, retention_s: float, is_ended: bool) -> bool:
     """Return whether a job's retention has expired.
 
     ``age_s`` counts from the job's submission. Results are promised for ``retention_s``
--- a/pistachioglade/decisions/_kept_steps.py
+++ b/pistachioglade/decisions/_kept_steps.py
@@ -22,7 +22,7 @@
     is_recorded: bool
 
 
-def steps_to_forget(finished: Iterable[FinishedStep]) -> tuple[int, ...]:
+def steps_to_evict(finished: Iterable[FinishedStep]) -> tuple[int, ...]:
     """Return the finished steps that an owner may forget.
 
     Only a recorded step is forgotten. A step that is opened again to be recorded, or
--- a/pistachioglade/decisions/_lease.py
+++ b/pistachioglade/decisions/_lease.py
@@ -12,14 +12,14 @@
     # Object version that was observed last; -1 before the first.
     version: int = -1
     # Time at which that version was first observed, in seconds of the observer's clock.
-    since_s: float = 0.0
+    first_observed_s: float = 0.0
 
     def observe(self, version: int, now_s: float) -> None:
         """Record the current version of the object."""
         if version != self.version:
             self.version = version
-            self.since_s = now_s
+            self.first_observed_s = now_s
 
-    def lapsed(self, lease_s: float, now_s: float) -> bool:
+    def has_expired(self, lease_s: float, now_s: float) -> bool:
         """Return whether the holder has not renewed the lease for ``lease_s``."""
-        return self.version >= 0 and now_s - self.since_s >= lease_s
+        return self.version >= 0 and now_s - self.first_observed_s >= lease_s
--- a/pistachioglade/decisions/_membership.py
+++ b/pistachioglade/decisions/_membership.py
@@ -18,7 +18,7 @@
 BUCKET_COUNT: Final = 32
 #: Time for which a dead member stays as a tombstone, in seconds, so that an old record
 #: can't revive the member.
-FORGET_AFTER_S: Final = 600.0
+TOMBSTONE_RETENTION_S: Final = 600.0
 
 _RANK: Final = {state: rank for rank, state in enumerate(MemberState)}
 
@@ -92,7 +92,7 @@
         self._store(self._own, now_s)
         return self._own
 
-    def suspect(self, node: str, now_s: float) -> MemberRecord | None:
+    def mark_suspect(self, node: str, now_s: float) -> MemberRecord | None:
         """Record that ``node`` does not answer; return None if nothing changes.
 
         A leaving node that does not answer is dead at once.
@@ -106,7 +106,9 @@
         self._store(record, now_s)
         return record
 
-    def expire(self, now_s: float, dead_after_s: float) -> tuple[MemberRecord, ...]:
+    def expire_suspects(
+        self, now_s: float, dead_after_s: float
+    ) -> tuple[MemberRecord, ...]:
         """Declare old suspects dead, return them, and remove old tombstones."""
         suspects = [
             record
@@ -127,7 +129,7 @@
             record.node
             for record in self._records.values()
             if record.state is MemberState.DEAD
-            and now_s - self._changed_at_s[record.node] >= FORGET_AFTER_S
+            and now_s - self._changed_at_s[record.node] >= TOMBSTONE_RETENTION_S
         ]
         for node in expired:
             del self._records[node]
--- a/pistachioglade/decisions/_result_batches.py
+++ b/pistachioglade/decisions/_result_batches.py
@@ -48,48 +48,52 @@
     """
 
     # Number of groups whose results are all written or wait for their write.
-    whole_groups: int
+    complete_groups: int
     # Number of groups that the trainer waits for.
     target_groups: int
     # Time at which the oldest waiting result was finished.
     oldest_s: float
     # Time at which the first group among the waiting results became complete; None
     # without such a group.
-    whole_s: float | None
+    group_complete_s: float | None
     # Time at which the step is due.
     due_s: float
     # Whether every sample of the step is finished.
-    is_last: bool
+    is_finished: bool
     # Latest estimated time at which the next unfinished sample ends.
     next_end_s: float
 
 
-def write_time_s(progress: StepProgress) -> float:
+def next_write_s(progress: StepProgress) -> float:
     """Return the time at which to write the waiting results."""
-    if progress.is_last:
+    if progress.is_finished:
         return progress.oldest_s
-    if progress.whole_s is None:
+    if progress.group_complete_s is None:
         return progress.oldest_s + _IDLE_WAIT_S
-    if progress.whole_groups >= progress.target_groups:
-        return progress.whole_s
+    if progress.complete_groups >= progress.target_groups:
+        return progress.group_complete_s
     last_s = progress.due_s - _FINAL_READS_S
     written_s = min(progress.oldest_s + _GROUP_WAIT_S, last_s)
-    return max(progress.whole_s, written_s, _join_end_s(progress, progress.whole_s))
+    return max(
+        progress.group_complete_s,
+        written_s,
+        _join_end_s(progress, progress.group_complete_s),
+    )
 
 
-def _join_end_s(progress: StepProgress, whole_s: float) -> float:
+def _join_end_s(progress: StepProgress, group_complete_s: float) -> float:
     """Return the end of a complete group's wait for a sample that is about to end."""
-    remaining_s = progress.due_s + _LATENESS_LIMIT_S - whole_s
-    until_s = whole_s + min(_JOIN_WAIT_S, max(_LATE_JOIN_WAIT_S, remaining_s))
+    remaining_s = progress.due_s + _LATENESS_LIMIT_S - group_complete_s
+    until_s = group_complete_s + min(_JOIN_WAIT_S, max(_LATE_JOIN_WAIT_S, remaining_s))
     is_near = progress.next_end_s <= until_s + _END_JITTER_S
-    return until_s if is_near else whole_s
+    return until_s if is_near else group_complete_s
 
 
 #: Fraction of an object's size for its contents; names and framing take the remainder.
 _CONTENT_FRACTION: Final = 0.95
 
 
-def fitting_count(sizes: Iterable[int], max_bytes: int) -> int:
+def count_fitting(sizes: Iterable[int], max_bytes: int) -> int:
     """Return how many of the first values fit into one object, at least 1."""
     limit = max_bytes * _CONTENT_FRACTION
     sums = accumulate(sizes)
--- a/pistachioglade/decisions/_sample_order.py
+++ b/pistachioglade/decisions/_sample_order.py
@@ -35,15 +35,15 @@
     # Monotonic time at which the job's results are due, in seconds.
     due_s: float
     # Whether the sample's group was carried over from an earlier job.
-    is_carried: bool
+    is_carried_over: bool
     # Number of unfinished samples in the sample's group.
-    group_open: int
+    unfinished_in_group: int
     # Index of the group in the job.
     group_index: int
     # Output tokens that the caller expects; None without an estimate.
     expected_tokens: int | None
     # Whether the sample has a partial text already.
-    is_begun: bool
+    has_partial_text: bool
 
 
 def start_order(
@@ -56,9 +56,9 @@
     return sorted(
         samples,
         key=lambda item: (
-            not item.is_begun,
+            not item.has_partial_text,
             latest_start_s(item) if by_length else item.due_s,
-            item.group_open,
+            item.unfinished_in_group,
             item.group_index,
             item.item_id,
         ),
@@ -68,4 +68,6 @@
 def latest_start_s(sample: PendingSample) -> float:
     """Return the latest start time that lets a sample finish by its due time."""
     duration_s = (sample.expected_tokens or 0) * _TOKEN_S
-    return sample.due_s - duration_s - (_CARRIED_LEAD_S if sample.is_carried else 0.0)
+    return (
+        sample.due_s - duration_s - (_CARRIED_LEAD_S if sample.is_carried_over else 0.0)
+    )
--- a/pistachioglade/decisions/_step.py
+++ b/pistachioglade/decisions/_step.py
@@ -45,7 +45,7 @@
     # Whether groups with the longest samples start first.
     longest_first: bool = True
     # Fraction of the step's samples that may be hedged.
-    hedge_part: float = 0.05
+    hedge_fraction: float = 0.05
 
 
 @attrs.frozen
@@ -59,7 +59,7 @@
     # Node id of the agent that runs the copy.
     agent: str
     # Whether the copy is a hedge: another copy is running already.
-    hedge: bool = False
+    is_hedge: bool = False
 
 
 @attrs.frozen
@@ -126,7 +126,7 @@
         return tuple(self._receipts[index] for index in sorted(self._receipts))
 
     @property
-    def has_running(self) -> bool:
+    def has_running_copies(self) -> bool:
         """Whether any copy is running."""
         return bool(self._running)
 
@@ -134,7 +134,7 @@
         """Return whether a copy of a sample is ready or receipted."""
         return index in self._ready or index in self._receipts
 
-    def running_at(self, agent: str) -> tuple[int, ...]:
+    def samples_running_at(self, agent: str) -> tuple[int, ...]:
         """Return the indices of the samples that run at an agent."""
         return tuple(
             index
@@ -142,7 +142,7 @@
             if any(copy.agent == agent for copy in copies)
         )
 
-    def outstanding(self) -> dict[str, int]:
+    def running_by_agent(self) -> dict[str, int]:
         """Return the number of copies that run at each agent."""
         counts: dict[str, int] = defaultdict(int)
         for copy in chain.from_iterable(self._running.values()):
@@ -162,7 +162,7 @@
         if dispatch is not None:
             copies = self._running.setdefault(dispatch.index, [])
             copies.append(_Copy(dispatch.agent, now_s))
-            self._hedged += dispatch.hedge
+            self._hedged += dispatch.is_hedge
         return dispatch
 
     def _next_pending(self, agents: Sequence[AgentView]) -> Dispatch | None:
@@ -227,7 +227,7 @@
 
     def _next_hedge(self, agents: Sequence[AgentView], now_s: float) -> Dispatch | None:
         """Return a second copy of a sample that a slow or silent agent delays."""
-        budget = self._policy.hedge_part * self.sample_count
+        budget = self._policy.hedge_fraction * self.sample_count
         finished = len(self._ready) + len(self._receipts)
         if (
             self._hedged >= budget
@@ -247,7 +247,7 @@
         if not idle:
             return None
         agent = min(idle, key=lambda view: (view.load, view.agent)).agent
-        return Dispatch(delayed, self._group_of[delayed], agent, hedge=True)
+        return Dispatch(delayed, self._group_of[delayed], agent, is_hedge=True)
 
     def _find_delayed_sample(self, slow: frozenset[str], now_s: float) -> int | None:
         """Return the oldest sample whose only copy is stuck or at a slow agent."""
@@ -260,7 +260,9 @@
         ]
         return min(singles)[1] if singles else None
 
-    def finish(self, agent: str, sample: Sample, now_s: float) -> tuple[str, ...]:
+    def record_finished(
+        self, agent: str, sample: Sample, now_s: float
+    ) -> tuple[str, ...]:
         """Record a finished copy; return the agents with obsolete copies to cancel."""
         index = sample.index
         copies = self._running.pop(index, [])
@@ -284,7 +286,7 @@
         if not waiting:
             self._pending.pop(group, None)
 
-    def fail(self, agent: str, index: int) -> None:
+    def record_failure(self, agent: str, index: int) -> None:
         """Record a failed copy; queue the sample again if no other copy runs."""
         copies = self._running.get(index, [])
         kept = [copy for copy in copies if copy.agent != agent]
@@ -303,7 +305,7 @@
         if index not in waiting:
             waiting.insert(0, index)
 
-    def drop_stale(
+    def discard_stale(
         self, newest_version: int, bound_versions: int
     ) -> tuple[Sample, ...]:
         """Discard ready copies that have become stale and queue their samples again."""
@@ -317,7 +319,7 @@
             self._requeue(sample.index)
         return stale
 
-    def reject(self, indices: Iterable[int]) -> tuple[Sample, ...]:
+    def discard_rejected(self, indices: Iterable[int]) -> tuple[Sample, ...]:
         """Discard copies that the trainer rejected as stale and queue them again."""
         dropped = tuple(
             self._ready.pop(index) for index in set(indices) if index in self._ready
@@ -326,7 +328,7 @@
             self._requeue(sample.index)
         return dropped
 
-    def receive(self, receipts: Iterable[Receipt]) -> tuple[int, ...]:
+    def record_receipts(self, receipts: Iterable[Receipt]) -> tuple[int, ...]:
         """Record receipts; return the samples whose running copies can be cancelled."""
         fresh = [
             receipt
@@ -342,7 +344,7 @@
             receipt.index for receipt in fresh if receipt.index in self._running
         )
 
-    def restore(self, receipts: Iterable[Receipt]) -> tuple[int, ...]:
+    def restore_receipts(self, receipts: Iterable[Receipt]) -> tuple[int, ...]:
         """Replace all receipts by those of a trainer that reopens the step.
 
         A trainer that returned to its checkpoint lacks samples that it had receipted
@@ -353,8 +355,8 @@
         for index in [index for index in self._receipts if index not in kept]:
             del self._receipts[index]
             self._requeue(index)
-        return self.receive(known)
+        return self.record_receipts(known)
 
-    def ready(self, max_samples: int) -> tuple[Sample, ...]:
+    def ready_samples(self, max_samples: int) -> tuple[Sample, ...]:
         """Return finished samples that the trainer has not receipted yet."""
         return tuple(self._ready[index] for index in sorted(self._ready)[:max_samples])
--- a/pistachioglade/decisions/tests/test_kept_steps.py
+++ b/pistachioglade/decisions/tests/test_kept_steps.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from .. import FinishedStep, steps_to_forget
+from .. import FinishedStep, steps_to_evict
 
 
 @pytest.mark.parametrize(
@@ -26,4 +26,4 @@
         *(FinishedStep(step, is_recorded=True) for step in recorded),
         *(FinishedStep(step, is_recorded=False) for step in unrecorded),
     ]
-    assert steps_to_forget(finished) == forgotten
+    assert steps_to_evict(finished) == forgotten
--- a/pistachioglade/decisions/tests/test_result_batches.py
+++ b/pistachioglade/decisions/tests/test_result_batches.py
@@ -4,17 +4,17 @@
 
 import pytest
 
-from .. import StepProgress, write_time_s
+from .. import StepProgress, next_write_s
 
 
 def _progress(**fields: object) -> StepProgress:
     usual = {
-        "whole_groups": 3,
+        "complete_groups": 3,
         "target_groups": 12,
         "oldest_s": 2.0,
-        "whole_s": 2.0,
+        "group_complete_s": 2.0,
         "due_s": 7.5,
-        "is_last": False,
+        "is_finished": False,
         "next_end_s": float("inf"),
     }
     return StepProgress(**(usual | fields))  # type: ignore[arg-type]
@@ -24,62 +24,62 @@
     ("progress", "expected_s"),
     [
         (_progress(), 2.8),
-        (_progress(whole_groups=12), 2.0),
-        (_progress(whole_groups=13), 2.0),
-        (_progress(whole_groups=12, whole_s=None), 4.0),
-        (_progress(is_last=True), 2.0),
+        (_progress(complete_groups=12), 2.0),
+        (_progress(complete_groups=13), 2.0),
+        (_progress(complete_groups=12, group_complete_s=None), 4.0),
+        (_progress(is_finished=True), 2.0),
         # The group is complete after the longest wait of the oldest result.
-        (_progress(oldest_s=1.0, whole_s=2.5), 2.5),
+        (_progress(oldest_s=1.0, group_complete_s=2.5), 2.5),
         # The trainer still waits for groups, and the step is nearly due or late.
-        (_progress(oldest_s=6.2, whole_s=6.2), 6.3),
-        (_progress(oldest_s=7.9, whole_s=7.9), 7.9),
+        (_progress(oldest_s=6.2, group_complete_s=6.2), 6.3),
+        (_progress(oldest_s=7.9, group_complete_s=7.9), 7.9),
         # Another sample ends soon; the wait is shorter once the step is late.
-        (_progress(oldest_s=6.8, whole_s=6.8, next_end_s=7.2), 7.3),
-        (_progress(oldest_s=6.8, whole_s=6.8, next_end_s=7.35), 7.3),
-        (_progress(oldest_s=6.8, whole_s=6.8, next_end_s=7.5), 6.8),
-        (_progress(oldest_s=7.4, whole_s=7.6, next_end_s=7.7), 8.0),
-        (_progress(oldest_s=7.4, whole_s=7.6, next_end_s=8.1), 8.0),
-        (_progress(oldest_s=7.4, whole_s=7.6, next_end_s=8.2), 7.6),
-        (_progress(oldest_s=7.4, whole_s=7.95, next_end_s=8.0), 8.1),
-        (_progress(oldest_s=7.4, whole_s=7.95, next_end_s=8.3), 7.95),
+        (_progress(oldest_s=6.8, group_complete_s=6.8, next_end_s=7.2), 7.3),
+        (_progress(oldest_s=6.8, group_complete_s=6.8, next_end_s=7.35), 7.3),
+        (_progress(oldest_s=6.8, group_complete_s=6.8, next_end_s=7.5), 6.8),
+        (_progress(oldest_s=7.4, group_complete_s=7.6, next_end_s=7.7), 8.0),
+        (_progress(oldest_s=7.4, group_complete_s=7.6, next_end_s=8.1), 8.0),
+        (_progress(oldest_s=7.4, group_complete_s=7.6, next_end_s=8.2), 7.6),
+        (_progress(oldest_s=7.4, group_complete_s=7.95, next_end_s=8.0), 8.1),
+        (_progress(oldest_s=7.4, group_complete_s=7.95, next_end_s=8.3), 7.95),
         # The trainer waits for no further group.
-        (_progress(whole_groups=12, next_end_s=2.1), 2.0),
+        (_progress(complete_groups=12, next_end_s=2.1), 2.0),
     ],
 )
 def test_results_wait_unless_the_trainer_waits_for_them(
     progress: StepProgress, expected_s: float
 ) -> None:
-    assert write_time_s(progress) == pytest.approx(expected_s)
+    assert next_write_s(progress) == pytest.approx(expected_s)
 
 
-def _reads_s(whole_s: list[float], target: int, due_s: float) -> list[float]:
+def _reads_s(group_complete_s: list[float], target: int, due_s: float) -> list[float]:
     """Simulate the writes and reads of a step; return each group's read time.
 
-    One result completes each group, at the times in ``whole_s``. A read waits until
-    there is a result, and the next read follows half a second after a page.
+    One result completes each group, at the times in ``group_complete_s``. A read waits
+    until there is a result, and the next read follows half a second after a page.
     """
     written: list[float] = []
     unwritten: list[float] = []
     for position, (finished_s, next_s) in enumerate(
-        zip(whole_s, [*whole_s[1:], float("inf")], strict=True)
+        zip(group_complete_s, [*group_complete_s[1:], float("inf")], strict=True)
     ):
         unwritten.append(finished_s)
         progress = _progress(
-            whole_groups=position + 1,
+            complete_groups=position + 1,
             target_groups=target,
             oldest_s=unwritten[0],
-            whole_s=unwritten[0],
+            group_complete_s=unwritten[0],
             due_s=due_s,
-            is_last=position + 1 == len(whole_s),
+            is_finished=position + 1 == len(group_complete_s),
             next_end_s=next_s,
         )
-        write_s = max(finished_s, write_time_s(progress))
+        write_s = max(finished_s, next_write_s(progress))
         if write_s < next_s:
             written += [write_s] * len(unwritten)
             unwritten.clear()
     reads_s: list[float] = []
     read_s = 0.0
-    while len(reads_s) < len(whole_s):
+    while len(reads_s) < len(group_complete_s):
         read_s = max(read_s, written[len(reads_s)])
         count = sum(1 for item in written if item <= read_s)
         reads_s += [read_s] * (count - len(reads_s))
--- a/pistachioglade/decisions/tests/test_serving_tables.py
+++ b/pistachioglade/decisions/tests/test_serving_tables.py
@@ -11,25 +11,25 @@
     CallPolicy,
     NeighbourView,
     PendingSample,
+    checkpoint_interval_s,
+    choose_job_owner,
+    count_fitting,
     engine_rank,
-    engines_of_others,
-    fitting_count,
-    heir_of,
-    home_of,
-    homes_of,
+    engines_preferred_by_others,
+    has_lost_store,
+    has_retention_expired,
     is_lost,
-    is_storeless,
-    may_forget,
     may_try_again,
     neighbour_of,
+    owner_candidates,
     probe_interval_s,
     recently_listed,
-    save_interval_s,
+    should_checkpoint,
     should_load,
-    should_save,
-    should_strike_off,
+    should_remove_listing,
     start_order,
     stream_silence_s,
+    successor_of,
     try_time_s,
 )
 
@@ -79,11 +79,11 @@
         "job_id": "job",
         "item_id": item,
         "due_s": 7.5,
-        "is_carried": False,
-        "group_open": 4,
+        "is_carried_over": False,
+        "unfinished_in_group": 4,
         "group_index": 0,
         "expected_tokens": 500,
-        "is_begun": False,
+        "has_partial_text": False,
     }
     return PendingSample(**(usual | fields))  # type: ignore[arg-type]
 
@@ -93,8 +93,8 @@
         pending("short", expected_tokens=100),
         pending("long", expected_tokens=9000),
         pending("later step", due_s=11.5, expected_tokens=9000),
-        pending("carried", is_carried=True, expected_tokens=100),
-        pending("begun", is_begun=True, due_s=11.5),
+        pending("carried", is_carried_over=True, expected_tokens=100),
+        pending("begun", has_partial_text=True, due_s=11.5),
         pending("untold", expected_tokens=None),
     ]
     order = [item.item_id for item in start_order(samples)]
@@ -134,16 +134,18 @@
     store_age_s: float | None, own_age_s: float, takes_jobs: bool, leaves_list: bool
 ) -> None:
     view = NeighbourView(0.0, store_age_s, own_age_s)
-    assert is_storeless(view) is takes_jobs
-    assert should_strike_off(view) is leaves_list
+    assert has_lost_store(view) is takes_jobs
+    assert should_remove_listing(view) is leaves_list
 
 
 def test_neighbours_form_one_ring() -> None:
     names = ["c", "a", "d", "b"]
     assert [neighbour_of(name, names) for name in "abcd"] == ["d", "a", "b", "c"]
-    assert all(heir_of(str(neighbour_of(name, names)), names) == name for name in names)
+    assert all(
+        successor_of(str(neighbour_of(name, names)), names) == name for name in names
+    )
     assert neighbour_of("a", ["a"]) is None
-    assert heir_of("gone", ["a", "z"]) == "z"
+    assert successor_of("gone", ["a", "z"]) == "z"
 
 
 @pytest.mark.parametrize(
@@ -169,7 +171,7 @@
 ) -> None:
     view = NeighbourView(10.0 - silent_s, store_age_s, own_age_s, refused)
     assert is_lost(view, 10.0) is lost
-    assert is_storeless(view) is storeless
+    assert has_lost_store(view) is storeless
 
 
 def test_a_suspected_neighbour_is_probed_more_often() -> None:
@@ -180,19 +182,19 @@
 def test_job_owners_change_only_with_their_entry() -> None:
     entries = {f"entry-{number}": 0.8 for number in range(6)}
     keys = [f"lm-{number}" for number in range(40)]
-    before = {key: homes_of(key, 30, entries) for key in keys}
+    before = {key: owner_candidates(key, 30, entries) for key in keys}
     fewer = {name: cores for name, cores in entries.items() if name != "entry-3"}
-    moved = {key for key in keys if homes_of(key, 30, fewer) != before[key]}
+    moved = {key for key in keys if owner_candidates(key, 30, fewer) != before[key]}
     assert moved == {key for key in keys if before[key] == ("entry-3",)}
 
 
 def test_an_entry_of_low_capacity_owns_no_jobs_beside_larger_entries() -> None:
     entries = {"weak": 0.387, "strong": 2.15}
-    owners = {homes_of(f"key-{number}", 30, entries) for number in range(20)}
+    owners = {owner_candidates(f"key-{number}", 30, entries) for number in range(20)}
     assert owners == {("strong",)}
-    assert homes_of("key", 30, {"weak": 0.387}) == ("weak",)
-    assert homes_of("key", 30, {}) == ()
-    assert home_of((), ["m"], "m", 1) is None
+    assert owner_candidates("key", 30, {"weak": 0.387}) == ("weak",)
+    assert owner_candidates("key", 30, {}) == ()
+    assert choose_job_owner((), ["m"], "m", 1) is None
 
 
 def test_jobs_are_spread_over_as_many_entries_as_needed() -> None:
@@ -201,17 +203,17 @@
     An entry of 0.12 cores that ran all jobs was lost, then the next such entry.
     """
     small = {f"entry-{number}": 0.12 for number in range(12)}
-    owners = homes_of("lm", 36, small)
+    owners = owner_candidates("lm", 36, small)
     assert 1 < len(owners) < len(small)
-    assert len(homes_of("lm", 36, dict.fromkeys(small, 0.8))) == 1
-    counts = [len(homes_of("lm", slots, small)) for slots in range(6, 360, 6)]
+    assert len(owner_candidates("lm", 36, dict.fromkeys(small, 0.8))) == 1
+    counts = [len(owner_candidates("lm", slots, small)) for slots in range(6, 360, 6)]
     assert counts == sorted(counts)
-    assert len(homes_of("lm", 3600, small)) == 12
+    assert len(owner_candidates("lm", 3600, small)) == 12
     models = ["a", "b"]
     # Two steps of each model are open at once.
     for step in range(4):
         spread = Counter(
-            home_of(owners, models, model, step + ahead)
+            choose_job_owner(owners, models, model, step + ahead)
             for model in models
             for ahead in range(2)
         )
@@ -221,11 +223,11 @@
 
 def test_the_loss_of_a_job_owner_moves_no_other_owner() -> None:
     small = {f"entry-{number}": 0.12 for number in range(12)}
-    owners = homes_of("lm", 72, small)
+    owners = owner_candidates("lm", 72, small)
     assert len(owners) > 2
     for lost in owners:
         left = {name: cores for name, cores in small.items() if name != lost}
-        after = homes_of("lm", 72, left)
+        after = owner_candidates("lm", 72, left)
         assert len(after) == len(owners)
         assert set(owners) - {lost} <= set(after)
 
@@ -233,13 +235,13 @@
 def test_job_owners_divide_all_engines_without_overlap() -> None:
     engines = [f"10.0.0.{number}:80" for number in range(10, 20)]
     own = [
-        set(engines) - engines_of_others(owner, ("x", "y"), engines)
+        set(engines) - engines_preferred_by_others(owner, ("x", "y"), engines)
         for owner in ("x", "y")
     ]
     assert own[0] | own[1] == set(engines)
     assert not own[0] & own[1]
-    assert engines_of_others("x", ("x",), engines) == frozenset()
-    assert engines_of_others("elsewhere", ("x", "y"), engines) == frozenset()
+    assert engines_preferred_by_others("x", ("x",), engines) == frozenset()
+    assert engines_preferred_by_others("elsewhere", ("x", "y"), engines) == frozenset()
 
 
 @pytest.mark.parametrize("models", [1, 2, 4])
@@ -294,9 +296,9 @@
     ("new_events", "saves"), [(100, True), (6, True), (5, False), (0, False)]
 )
 def test_checkpoints_wait_for_new_events(new_events: int, saves: bool) -> None:
-    assert should_save({"a": 30}, {"a": 30 + new_events}) is saves
-    assert should_save({}, {"a": new_events}) is saves
-    assert should_save({"a": new_events}, {}) is saves
+    assert should_checkpoint({"a": 30}, {"a": 30 + new_events}) is saves
+    assert should_checkpoint({}, {"a": new_events}) is saves
+    assert should_checkpoint({"a": new_events}, {}) is saves
 
 
 def test_a_full_object_of_texts_is_saved_again_as_they_grow() -> None:
@@ -304,7 +306,7 @@
 
     The sum stays the same if a growing text displaces a shorter text.
     """
-    assert should_save({"a": 40, "b": 32}, {"a": 72})
+    assert should_checkpoint({"a": 40, "b": 32}, {"a": 72})
 
 
 @pytest.mark.parametrize(
@@ -314,7 +316,7 @@
 def test_large_checkpoints_are_saved_less_often(
     last_bytes: int, interval_s: float
 ) -> None:
-    assert save_interval_s(last_bytes) == interval_s
+    assert checkpoint_interval_s(last_bytes) == interval_s
 
 
 @pytest.mark.parametrize(
@@ -330,7 +332,7 @@
 def test_results_are_kept_for_the_retention_time(
     age_s: float, is_ended: bool, forgets: bool
 ) -> None:
-    assert may_forget(age_s, 120.0, is_ended) is forgets
+    assert has_retention_expired(age_s, 120.0, is_ended) is forgets
 
 
 @pytest.mark.parametrize(
@@ -347,7 +349,7 @@
 def test_a_batch_holds_as_many_results_as_fit_into_one_object(
     sizes: list[int], count: int
 ) -> None:
-    assert fitting_count(sizes, 1000) == count
+    assert count_fitting(sizes, 1000) == count
 
 
 @pytest.mark.parametrize(
--- a/pistachioglade/decisions/tests/test_shares.py
+++ b/pistachioglade/decisions/tests/test_shares.py
@@ -20,7 +20,7 @@
     now = 0.0
     for _round in range(rounds):
         for trainer in lengths:
-            while queue.waiting_of(trainer) < slots:
+            while queue.waiting_count(trainer) < slots:
                 queue.push(trainer, 0)
         while len(running) < slots:
             trainer = queue.backlogged()[0]
@@ -29,7 +29,7 @@
             running.append((now + length, trainer, length))
         running.sort()
         now, trainer, length = running.pop(0)
-        queue.finished(trainer, length)
+        queue.record_finished(trainer, length)
         tokens[trainer] += length
     return tokens
 
@@ -57,7 +57,7 @@
         queue.push("flood", 0)
     for _turn in range(10):
         queue.pop("flood")
-        queue.finished("flood", 100)
+        queue.record_finished("flood", 100)
     queue.push("small", 0)
     queue.push("small", 0)
     first = [queue.backlogged()[0]]
@@ -70,7 +70,7 @@
     for _item in range(200):
         queue.push("busy", 0)
         queue.pop("busy")
-        queue.finished("busy", 100)
+        queue.record_finished("busy", 100)
         queue.push("busy", 0)
         queue.pop("busy")
     queue.push("idle", 0)
--- a/pistachioglade/jobs/_cleaner.py
+++ b/pistachioglade/jobs/_cleaner.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Final
 
-from ..decisions import may_forget
+from ..decisions import has_retention_expired
 from ..errors import ErrorKind
 from ..logs import logger
 from ..store import StoreClient
@@ -50,7 +50,7 @@
         # The age counts from when this process first saw the job: a stepped wall clock
         # must not cause a removal.
         age_s = asyncio.get_running_loop().time() - state.first_seen_s
-        return may_forget(age_s, self.retention_s, state.is_ended)
+        return has_retention_expired(age_s, self.retention_s, state.is_ended)
 
     async def _remove(self, state: JobState) -> None:
         """Remove a job's results first and its submission last.
--- a/pistachioglade/jobs/_job_run.py
+++ b/pistachioglade/jobs/_job_run.py
@@ -170,11 +170,11 @@
                 job_id=self.job.id,
                 item_id=sample.item.id,
                 due_s=self.due_s,
-                is_carried=sample.item.group in self._carried_groups,
-                group_open=open_by_group[sample.item.group],
+                is_carried_over=sample.item.group in self._carried_groups,
+                unfinished_in_group=open_by_group[sample.item.group],
                 group_index=self._group_indexes[sample.item.group],
                 expected_tokens=sample.item.expected_tokens,
-                is_begun=sample.text.last_event is not None,
+                has_partial_text=sample.text.last_event is not None,
             )
             for sample in self.samples.values()
             if sample.is_waiting and sample.not_before_s <= now_s
--- a/pistachioglade/jobs/_owner.py
+++ b/pistachioglade/jobs/_owner.py
@@ -55,9 +55,9 @@
         reader: JobReader,
         metrics: Metrics,
         policy: Policy = FULL_POLICY,
-        engines_of_others: Callable[[str], frozenset[str]] = lambda _upstream: (
-            frozenset()
-        ),
+        engines_preferred_by_others: Callable[
+            [str], frozenset[str]
+        ] = lambda _upstream: frozenset(),
     ) -> None:
         self._metrics = metrics
         self._policy = policy
@@ -90,7 +90,7 @@
             self.runs,
             self._is_catching_up,
             policy,
-            engines_of_others,
+            engines_preferred_by_others,
         )
         # Called when a run has started.
         self.on_begin: list[Callable[[], None]] = []
--- a/pistachioglade/jobs/_result_writer.py
+++ b/pistachioglade/jobs/_result_writer.py
@@ -15,8 +15,8 @@
     Mechanism,
     Policy,
     StepProgress,
-    fitting_count,
-    write_time_s,
+    count_fitting,
+    next_write_s,
 )
 from ..errors import ErrorKind, Refusal
 from ..fleet import Job, Result
@@ -150,15 +150,15 @@
             if item.group not in open_groups:
                 completed_s[item.group] = item.finished_s
         progress = StepProgress(
-            whole_groups=self._group_count - len(open_groups),
+            complete_groups=self._group_count - len(open_groups),
             target_groups=self._job.target_groups,
             oldest_s=self._unwritten[0].finished_s,
-            whole_s=min(completed_s.values(), default=None),
+            group_complete_s=min(completed_s.values(), default=None),
             due_s=self._due_s,
-            is_last=not open_groups,
+            is_finished=not open_groups,
             next_end_s=self._next_end_s(),
         )
-        return write_time_s(progress)
+        return next_write_s(progress)
 
     async def run(self) -> None:
         """Write queued results when they are due, until cancelled."""
@@ -178,7 +178,7 @@
     def _next_batch(self) -> tuple[tuple[_FinishedResult, ...], BatchRecord]:
         """Return as many queued results as one object holds, and their batch."""
         sizes = (max_stored_bytes(item.encoded) for item in self._unwritten)
-        max_count = fitting_count(sizes, self._store.max_object_bytes)
+        max_count = count_fitting(sizes, self._store.max_object_bytes)
         finished = tuple(self._unwritten[:max_count])
         batch = BatchRecord(
             self._next_tag(),
--- a/pistachioglade/jobs/_sample_scheduler.py
+++ b/pistachioglade/jobs/_sample_scheduler.py
@@ -71,13 +71,13 @@
         runs: Mapping[str, JobRun],
         is_catching_up: Callable[[], bool] = bool,
         policy: Policy = FULL_POLICY,
-        engines_of_others: Callable[[str], frozenset[str]] = lambda _upstream: (
-            frozenset()
-        ),
+        engines_preferred_by_others: Callable[
+            [str], frozenset[str]
+        ] = lambda _upstream: frozenset(),
     ) -> None:
         self._policy = policy
         # Returns the engines of an upstream that other job owners prefer.
-        self._engines_of_others = engines_of_others
+        self._engines_preferred_by_others = engines_preferred_by_others
         # Engines that other job owners prefer, by upstream, as of the last scheduling
         # pass.
         self._engines_preferred_elsewhere: dict[str, frozenset[str]] = {}
@@ -99,7 +99,7 @@
         while True:
             await asyncio.sleep(_SCHEDULING_INTERVAL_S)
             self._engines_preferred_elsewhere = {
-                name: self._engines_of_others(name)
+                name: self._engines_preferred_by_others(name)
                 for name in {run.upstream for run in self._runs.values()}
             }
             self.start_waiting_samples()
@@ -124,7 +124,7 @@
             for run in self._runs.values()
             if _has_room(run, table)
             for sample in run.pending()
-            if sample.is_begun or not excludes_new
+            if sample.has_partial_text or not excludes_new
         ]
         longest_first = self._policy.uses(Mechanism.LONGEST_FIRST)
         for pending in start_order(waiting, longest_first):
--- a/pistachioglade/jobs/_text_saver.py
+++ b/pistachioglade/jobs/_text_saver.py
@@ -13,10 +13,10 @@
 from typing import Any, Final
 
 from ..decisions import (
-    LEAST_SAVED_EVENTS,
-    fitting_count,
-    save_interval_s,
-    should_save,
+    MIN_CHECKPOINT_EVENTS,
+    checkpoint_interval_s,
+    count_fitting,
+    should_checkpoint,
 )
 from ..errors import Refusal
 from ..logs import logger
@@ -48,7 +48,7 @@
     """Return the longest texts of all jobs, as many as one object holds, by job."""
     longest = sorted(_candidates(texts_by_job), key=lambda pair: -len(pair[1].parts))
     sizes = (text_bytes(record) for _, record in longest)
-    kept = longest[: fitting_count(sizes, max_bytes)]
+    kept = longest[: count_fitting(sizes, max_bytes)]
     return {
         job_id: SampleTexts(tuple(item for owner, item in kept if owner == job_id))
         for job_id in dict.fromkeys(job_id for job_id, _ in kept)
@@ -63,7 +63,7 @@
         (job_id, record)
         for job_id, texts in texts_by_job.items()
         for record in texts.texts
-        if len(record.parts) >= LEAST_SAVED_EVENTS
+        if len(record.parts) >= MIN_CHECKPOINT_EVENTS
     ]
 
 
@@ -103,7 +103,7 @@
     async def run(self) -> None:
         """Save texts periodically, until cancelled."""
         while True:
-            await asyncio.sleep(save_interval_s(self._saved_bytes))
+            await asyncio.sleep(checkpoint_interval_s(self._saved_bytes))
             while (texts_by_job := self._texts()) is None:
                 await asyncio.sleep(_START_POLL_S)
             kept = choose_texts(texts_by_job, self._store.max_object_bytes)
@@ -119,7 +119,7 @@
             for job_id, texts in texts_by_job.items()
             for record in texts.texts
         }
-        if not should_save(self._saved_events, events):
+        if not should_checkpoint(self._saved_events, events):
             return
         started_s = asyncio.get_running_loop().time()
         stored = await self._write(
@@ -138,7 +138,7 @@
             bytes=self._saved_bytes,
             shortest_events=min(events.values(), default=0),
             took_s=round(asyncio.get_running_loop().time() - started_s, 3),
-            next_in_s=round(save_interval_s(self._saved_bytes), 3),
+            next_in_s=round(checkpoint_interval_s(self._saved_bytes), 3),
         )
 
     async def _write(self, value: dict[str, Any]) -> Entry | Refusal:
--- a/pistachioglade/jobs/tests/test_text_saver.py
+++ b/pistachioglade/jobs/tests/test_text_saver.py
@@ -11,7 +11,7 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from ...decisions import LEAST_SAVED_EVENTS
+from ...decisions import MIN_CHECKPOINT_EVENTS
 from ...messages import SampleTexts, TextRecord, structure, unstructure
 from ...store.tests.served import eventually, run, served_store
 from .. import _text_saver
@@ -40,7 +40,7 @@
 
 @given(
     st.lists(
-        st.tuples(st.text(max_size=40), st.integers(LEAST_SAVED_EVENTS, 60)),
+        st.tuples(st.text(max_size=40), st.integers(MIN_CHECKPOINT_EVENTS, 60)),
         max_size=8,
     )
 )
--- a/pistachioglade/serving/_entry_program.py
+++ b/pistachioglade/serving/_entry_program.py
@@ -17,8 +17,8 @@
     Mechanism,
     Policy,
     RetryBudget,
-    capacity_of,
-    heir_of,
+    entry_capacity,
+    successor_of,
 )
 from ..errors import Refusal
 from ..forwarding import FleetView, Forwarder, StreamForwarder
@@ -51,8 +51,7 @@
 #: instance serves. Each load of weights changes the list. The rest of that time is left
 #: for the watch call, which takes a few tenths of a second when the store is slow.
 _INSTANCES_GATHER_FRACTION: Final = 0.6
-#: The same delay while this entry runs jobs, in seconds. Jobs need to know sooner which
-#: instances have loaded a version.
+#: The same delay in seconds while jobs run here, which need the loaded versions sooner.
 _INSTANCES_GATHER_WITH_JOBS_S: Final = 0.4
 #: Delay between watches of submissions, owners and ends of jobs. Owners are notified
 #: over links at once; the watch covers lost notifications.
@@ -64,8 +63,7 @@
 #: Time from the start of a shutdown until idle connections are closed. The platform
 #: removes a node from rotation after two failed readiness checks, a second apart.
 _ROTATION_EXIT_S: Final = 2.3
-#: Retries per hundred first attempts where the retry budget is off: more than the
-#: attempts of any route allow.
+#: Retries per hundred first attempts without a retry budget: more than a route allows.
 _UNBOUNDED_PERCENT: Final = 100_000
 #: Fraction of the grace period after which a shutdown stops waiting for requests.
 _GRACE_FRACTION: Final = 0.8
@@ -125,12 +123,12 @@
             reader,
             metrics,
             policy,
-            lambda upstream: self._members.engines_of_others(upstream),
+            lambda upstream: self._members.engines_preferred_by_others(upstream),
         )
         self._members = Members(
             settings.node,
             self._address,
-            capacity_of(settings.cpu_cores, settings.link_mbps),
+            entry_capacity(settings.cpu_cores, settings.link_mbps),
             boot,
             self._store,
             self._view,
@@ -173,7 +171,7 @@
             self._store,
             self._watch_relays.fetch_changes,
             self._peers.broadcast_crashes,
-            lambda digest: heir_of(digest, self._members.names) == settings.node,
+            lambda digest: successor_of(digest, self._members.names) == settings.node,
         )
         self._neighbour = NeighbourWatch(
             self._members,
@@ -350,7 +348,9 @@
         self._store.move_to(settings.store.host, settings.store.port)
         self._store.max_object_bytes = settings.max_object_bytes
         self._cleaner.retention_s = settings.result_retention_s
-        self._members.set_capacity(capacity_of(settings.cpu_cores, settings.link_mbps))
+        self._members.set_capacity(
+            entry_capacity(settings.cpu_cores, settings.link_mbps)
+        )
 
     async def _do_housekeeping(self) -> None:
         while True:
--- a/pistachioglade/serving/_members.py
+++ b/pistachioglade/serving/_members.py
@@ -12,10 +12,10 @@
     FULL_POLICY,
     Mechanism,
     Policy,
-    engines_of_others,
+    choose_job_owner,
+    engines_preferred_by_others,
     fallback_entry_of,
-    home_of,
-    homes_of,
+    owner_candidates,
 )
 from ..errors import ErrorKind, Refusal, refuse
 from ..fleet import Instance
@@ -181,7 +181,7 @@
             if self._is_reachable(name) and not (self.is_leaving and name == self.node)
         }
         slots = sum(item.slots for item in self._view.open_instances(upstream))
-        return homes_of(upstream, slots, capacities)
+        return owner_candidates(upstream, slots, capacities)
 
     def choose_owner(self, upstream: str, model: str, step: int) -> str:
         """Return the owner's name for a new job; this entry if none can be chosen."""
@@ -190,18 +190,20 @@
         configuration = self._view.configuration
         known = configuration.upstreams.get(upstream) if configuration else None
         models = sorted(known.models) if known else []
-        owner = home_of(self._owner_candidates(upstream), models, model, step)
+        owner = choose_job_owner(self._owner_candidates(upstream), models, model, step)
         if owner is None:
             return self.own_name
         return f"{owner}@{self.address_of_node(owner)}"
 
-    def engines_of_others(self, upstream: str) -> frozenset[str]:
+    def engines_preferred_by_others(self, upstream: str) -> frozenset[str]:
         """Return the ids of engines that other owners of an upstream's jobs prefer."""
         engines = {
             f"{item.host}:{item.port}": item.id
             for item in self._view.open_instances(upstream)
         }
-        others = engines_of_others(self.node, self._owner_candidates(upstream), engines)
+        others = engines_preferred_by_others(
+            self.node, self._owner_candidates(upstream), engines
+        )
         return frozenset(engines[address] for address in others)
 
     def choose_fallback_entry(self, instance: Instance) -> str:
--- a/pistachioglade/serving/_neighbour.py
+++ b/pistachioglade/serving/_neighbour.py
@@ -9,18 +9,18 @@
 
 from ..decisions import (
     FULL_POLICY,
-    LATE_ANSWER_S,
-    NEIGHBOUR_TIMEOUT_S,
+    LATE_ANSWER_TIMEOUT_S,
+    NEIGHBOUR_ANSWER_WAIT_S,
     PROBE_INTERVAL_S,
     Mechanism,
     NeighbourView,
     Policy,
+    has_lost_store,
     is_lost,
-    is_storeless,
     neighbour_of,
     probe_interval_s,
+    should_remove_listing,
     should_reopen_link,
-    should_strike_off,
 )
 from ..errors import ErrorKind, Refusal
 from ..links import LinkPool
@@ -98,11 +98,11 @@
         if name != self._name:
             self._watch_entry(name)
         address = self._members.address_of_node(name)
-        work = self._links.call(address, Probe(), LATE_ANSWER_S)
+        work = self._links.call(address, Probe(), LATE_ANSWER_TIMEOUT_S)
         probe = asyncio.get_running_loop().create_task(work)
         self._probes.add(probe)
         probe.add_done_callback(partial(self._record_outcome, name, self._now_s()))
-        await asyncio.wait((probe,), timeout=NEIGHBOUR_TIMEOUT_S)
+        await asyncio.wait((probe,), timeout=NEIGHBOUR_ANSWER_WAIT_S)
         silent_s = self._now_s() - self._last_answer_s
         if silent_s > 2 * PROBE_INTERVAL_S:
             self._members.record_unreachable(name)
@@ -140,9 +140,9 @@
             await asyncio.gather(
                 self._reassign_jobs(name, False), self._members.remove_entry(name)
             )
-        elif is_storeless(view):
+        elif has_lost_store(view):
             await self._reassign_jobs(name, True)
-            if should_strike_off(view):
+            if should_remove_listing(view):
                 await self._members.remove_entry(name)
 
     def _record_outcome(
--- a/pistachioglade/serving/_peers.py
+++ b/pistachioglade/serving/_peers.py
@@ -8,12 +8,12 @@
 from typing import Any, Final
 
 from ..decisions import (
+    ENTRY_CALL_TIMEOUT_S,
     FULL_POLICY,
-    PROBE_TIMEOUT_S,
     Mechanism,
     Policy,
-    heir_of,
     is_store_fresh,
+    successor_of,
 )
 from ..errors import ErrorKind, Refusal, refuse
 from ..forwarding import FleetView
@@ -67,7 +67,7 @@
 #: outage of a few seconds, so that the job continues with the store's first answer.
 _OWNER_WRITE_TIMEOUT_S: Final = 5.0
 #: Timeout for the read that checks the store before a job is refused because the store
-#: can't be reached. The entry that accepted the job waits PROBE_TIMEOUT_S.
+#: can't be reached. The entry that accepted the job waits ENTRY_CALL_TIMEOUT_S.
 _STORE_CHECK_TIMEOUT_S: Final = 0.3
 #: Time between two reports of running samples to the other owners.
 _REPORT_SAMPLES_S: Final = 0.25
@@ -225,7 +225,7 @@
         others = self._members.owner_names - {self._owner.name}
         await asyncio.gather(
             *(
-                self._links.call(address_of(name), message, PROBE_TIMEOUT_S)
+                self._links.call(address_of(name), message, ENTRY_CALL_TIMEOUT_S)
                 for name in others
             )
         )
@@ -246,7 +246,9 @@
         if owner == self._owner.name:
             return True
         message = StoredRecord(entry.name, entry.revision, entry.value)
-        answer = await self._links.call(address_of(owner), message, PROBE_TIMEOUT_S)
+        answer = await self._links.call(
+            address_of(owner), message, ENTRY_CALL_TIMEOUT_S
+        )
         if not isinstance(answer, Refusal):
             self._members.record_reachable(node_of(owner))
             return True
@@ -315,7 +317,7 @@
             if candidate == self._owner.name:
                 break
             answer = await self._links.call(
-                address_of(candidate), AskHome(), PROBE_TIMEOUT_S
+                address_of(candidate), AskHome(), ENTRY_CALL_TIMEOUT_S
             )
             if isinstance(answer, HomeAnswer) and answer.takes_jobs:
                 return candidate
@@ -339,7 +341,7 @@
             }
             for state in orphans:
                 is_overdue = now_s - self._orphaned_s[state.id] > _ORPHAN_AFTER_S
-                successor = heir_of(node_of(state.owner), self._members.names)
+                successor = successor_of(node_of(state.owner), self._members.names)
                 if is_overdue and successor == self._members.node:
                     await self.reassign_job(state, False)
 
@@ -348,7 +350,7 @@
         owner = node_of(state.owner)
         if owner in self._members.names:
             return owner == self._members.node
-        return heir_of(owner, self._members.names) == self._members.node
+        return successor_of(owner, self._members.names) == self._members.node
 
     async def change_owner(self, state: JobState, owner: str, can_ask: bool) -> None:
         """Write a job's new owner; of two concurrent writes the store accepts one.
--- a/tests/without.py
+++ b/tests/without.py
@@ -66,8 +66,8 @@
     Mechanism(
         "exactly once: a step that opens again starts from the trainer's receipts",
         "agent/_step_run.py",
-        "for index in self.plan.restore(message.receipts):",
-        "for index in self.plan.receive(message.receipts):",
+        "for index in self.plan.restore_receipts(message.receipts):",
+        "for index in self.plan.record_receipts(message.receipts):",
         (_scenario("exactly_once_trainer_restored"),),
     ),
     Mechanism(
