--- a/pistachioglade/agent/_owner.py
+++ b/pistachioglade/agent/_owner.py
@@ -9,7 +9,7 @@
 
 from ..config import AgentSettings, Trainer, Weighing
 from ..controllers import CONFIG, NEWEST, Node
-from ..decisions import FinishedStep, VersionPace, hold_s, steps_to_forget
+from ..decisions import FinishedStep, VersionPace, step_hold_s, steps_to_evict
 from ..errors import ErrorKind, Refusal, refuse
 from ..messages import (
     FetchSamples,
@@ -59,7 +59,7 @@
             if published.version > self._known_versions.get(model, 0):
                 self._known_versions[model] = published.version
                 pace = self._paces.get(model, VersionPace())
-                self._paces[model] = pace.published(now_s)
+                self._paces[model] = pace.after_publication(now_s)
 
     def _hold_s(self, trainer: str) -> float:
         """Return for how long a trainer's step waits for new weights."""
@@ -71,7 +71,7 @@
         if policy.name != "fair" or policy.weighing is not Weighing.STALENESS:
             return 0.0
         pace = self._paces.get(declared.model, VersionPace())
-        return hold_s(pace, time.monotonic())
+        return step_hold_s(pace, time.monotonic())
 
     def owned_trainers(self) -> tuple[str, ...]:
         """Return the trainers whose lease this node holds."""
@@ -171,7 +171,7 @@
             for step, run in runs.items()
             if run.plan.is_complete
         )
-        for step in steps_to_forget(finished):
+        for step in steps_to_evict(finished):
             runs.pop(step).close()
             self._forgotten.setdefault(trainer, set()).add(step)
             _log.info("step.forgotten", trainer=trainer, step=step)
