--- a/pistachioglade/jobs/__init__.py
+++ b/pistachioglade/jobs/__init__.py
@@ -15,9 +15,9 @@
     encode_batch,
     encode_submission,
     parse_name,
-    rejoined,
-    sent_text,
+    restore_fields,
     split_submission,
+    submission_text,
 )
 
 __all__ = [
@@ -38,7 +38,7 @@
     "encode_submission",
     "node_of",
     "parse_name",
-    "rejoined",
-    "sent_text",
+    "restore_fields",
     "split_submission",
+    "submission_text",
 ]
--- a/pistachioglade/jobs/_ledger.py
+++ b/pistachioglade/jobs/_ledger.py
@@ -62,8 +62,8 @@
 
     @cached_property
     def job(self) -> Job | Refusal:
-        """The decoded submission; only valid while ``is_whole``."""
-        assert self.submission is not None and self.is_whole
+        """The decoded submission; only valid while ``is_complete``."""
+        assert self.submission is not None and self.is_complete
         submission = self.submission
         return decode_job(self.id, submission.host, submission.path, submission.fields)
 
@@ -71,7 +71,7 @@
     def total(self) -> int:
         """Number of items."""
         assert self.submission is not None
-        if not self.submission.is_whole:
+        if not self.submission.is_complete:
             return self.submission.total
         return 0 if isinstance(self.job, Refusal) else len(self.job.items)
 
@@ -79,7 +79,7 @@
     def model(self) -> str:
         """Model that the job asks for."""
         assert self.submission is not None
-        if not self.submission.is_whole:
+        if not self.submission.is_complete:
             return self.submission.model
         return "" if isinstance(self.job, Refusal) else self.job.model
 
@@ -89,9 +89,9 @@
         return 0 if self.submission is None else self.submission.step
 
     @property
-    def is_whole(self) -> bool:
-        """Whether the submission is set_fields here, with the trainer's fields."""
-        return self.submission is not None and self.submission.is_whole
+    def is_complete(self) -> bool:
+        """Whether the submission is here, with the trainer's fields."""
+        return self.submission is not None and self.submission.is_complete
 
     def set_fields(self, fields: Mapping[str, Any]) -> None:
         """Set the trainer's fields, joined from the stored parts."""
@@ -207,7 +207,7 @@
         state = self.jobs.get(job_id)
         return state if state is not None and state.submission is not None else None
 
-    def take(self, entry: Entry, is_removed: bool) -> None:
+    def apply_entry(self, entry: Entry, is_removed: bool) -> None:
         """Apply an object of the store, or its removal."""
         name = parse_name(entry.name)
         if name is None:
@@ -234,7 +234,9 @@
         """Apply a record; an unreadable record changes nothing and gives a refusal."""
         match name.kind:
             case RecordKind.SUBMISSION:
-                return None if state.is_whole else _apply_submission(state, entry.value)
+                return (
+                    None if state.is_complete else _apply_submission(state, entry.value)
+                )
             case RecordKind.OWNER:
                 if entry.revision > state.owner_revision:
                     return _apply_owner_change(state, entry)
--- a/pistachioglade/jobs/_owner.py
+++ b/pistachioglade/jobs/_owner.py
@@ -93,7 +93,7 @@
             engines_of_others,
         )
         # Called when a run has started.
-        self.on_begin: list[Callable[[], None]] = []
+        self.on_run_started: list[Callable[[], None]] = []
         # Monotonic time at which this owner was enabled, in seconds; jobs that are
         # first seen later are new.
         self.enabled_s = float("inf")
@@ -192,7 +192,7 @@
     async def _read_submission(self, state: JobState) -> bool:
         """Read the rest of a submission; return whether it is complete here."""
         while state.is_open:
-            missing = await self._reader.complete(state)
+            missing = await self._reader.read_submission(state)
             if missing is None:
                 return True
             if missing.kind in (ErrorKind.INTERNAL, ErrorKind.NOT_FOUND):
@@ -247,11 +247,11 @@
         self._scheduler.is_enabled = True
         self._scheduler.start_waiting_samples()
 
-    async def look_around(self) -> None:
+    async def run_scheduler(self) -> None:
         """Start, move and give up samples periodically, until cancelled."""
         await self._scheduler.run()
 
-    def texts(self, job_id: str) -> SampleTexts:
+    def hand_over_texts(self, job_id: str) -> SampleTexts:
         """Return the texts of a job's samples for its next owner.
 
         Samples of a handed-over job stop here, since the next owner continues them.
@@ -342,7 +342,7 @@
             total=state.total,
         )
         self._scheduler.start_waiting_samples()
-        for callback in self.on_begin:
+        for callback in self.on_run_started:
             callback()
 
     def samples_by_engine(self) -> dict[str, int]:
@@ -356,7 +356,7 @@
             )
         )
 
-    def fellow_owners(self) -> set[str]:
+    def other_owners(self) -> set[str]:
         """Return the other owners of open jobs; their samples use the same engines."""
         return {
             state.owner
@@ -389,5 +389,5 @@
         finally:
             del self._starting[state.id]
         if isinstance(stored, Entry):
-            self._ledger.take(stored, False)
+            self._ledger.apply_entry(stored, False)
         self.reconcile(state)
--- a/pistachioglade/jobs/_reader.py
+++ b/pistachioglade/jobs/_reader.py
@@ -150,14 +150,14 @@
             self._ledger.add_batch(state, number, batch)
         return None
 
-    async def complete(self, state: JobState) -> Refusal | None:
+    async def read_submission(self, state: JobState) -> Refusal | None:
         """Read the parts of a submission that is incomplete here.
 
         Returns a refusal if they couldn't be read.
         """
         submission = state.submission
         assert submission is not None
-        if submission.is_whole or await self._fetch_submission(state):
+        if submission.is_complete or await self._fetch_submission(state):
             return None
         texts: list[Any] = []
         # Parts are read one after the other: together they would fill a slow link for
@@ -173,7 +173,7 @@
         except (KeyError, TypeError, ValueError) as error:
             self._log.error("job-parts-unreadable", job=state.id, reason=str(error))
             return refuse(ErrorKind.INTERNAL, f"{state.id}: {error}")
-        if not state.is_whole:
+        if not state.is_complete:
             state.set_fields(fields)
         return None
 
@@ -196,11 +196,11 @@
         except ValueError as error:
             self._log.warning("submission-mismatched", job=state.id, reason=str(error))
             return False
-        if not state.is_whole:
+        if not state.is_complete:
             state.set_fields(fields)
         return True
 
-    async def is_complete(self, state: JobState) -> bool:
+    async def are_results_complete(self, state: JobState) -> bool:
         """Return whether all results of a job are written, according to its owner."""
         if len(state.results) == state.total:
             return True
--- a/pistachioglade/jobs/_records.py
+++ b/pistachioglade/jobs/_records.py
@@ -127,7 +127,7 @@
     step: int = 0
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether ``fields`` has the trainer's fields."""
         return self.part_count == 0
 
@@ -150,7 +150,7 @@
     Part names contain the digest of the joined text, so that parts of two submissions
     with the same id never mix.
     """
-    text = sent_text(submission)
+    text = submission_text(submission)
     digest = hashlib.sha256(text.encode()).hexdigest()[:_DIGEST_DIGITS]
     step = (max_bytes - _RESERVED_BYTES) // _MAX_ESCAPE_FACTOR
     parts = tuple(
@@ -161,17 +161,17 @@
     return stored, parts
 
 
-def sent_text(submission: Submission) -> str:
+def submission_text(submission: Submission) -> str:
     """Return the joined text of the parts of a complete submission."""
     return json.dumps(submission.fields)
 
 
-def rejoined(stored: Submission, submission: Submission) -> Submission:
+def restore_fields(stored: Submission, submission: Submission) -> Submission:
     """Return the stored submission with the fields of one of the same digest.
 
     The stored submission is returned unchanged if the digests differ.
     """
-    if stored.is_whole or stored.digest != submission.digest:
+    if stored.is_complete or stored.digest != submission.digest:
         return stored
     return attrs.evolve(stored, fields=submission.fields, part_count=0)
 
--- a/pistachioglade/jobs/tests/test_failing_work.py
+++ b/pistachioglade/jobs/tests/test_failing_work.py
@@ -38,7 +38,7 @@
     fields = {"model": "m", "items": [{"id": "i1", "path": "/"}]}
     submission = Submission("me@h:1", "boot", "h", "/", 0.0, fields)
     value = encode_submission(submission)
-    scene.ledger.take(Entry(job_id, 2, value, None), False)
+    scene.ledger.apply_entry(Entry(job_id, 2, value, None), False)
 
 
 def test_a_job_whose_start_failed_is_started_again(
--- a/pistachioglade/jobs/tests/test_frames.py
+++ b/pistachioglade/jobs/tests/test_frames.py
@@ -20,7 +20,7 @@
     decode_submission,
     encode_batch,
     encode_submission,
-    rejoined,
+    restore_fields,
     split_submission,
 )
 
@@ -84,11 +84,11 @@
             batch = BatchRecord("w", 0, (json.dumps("r0"),), ("i0",))
             await client.create(RESULT_KIND, "job.r000000", encode_batch(batch), 1.0)
             ledger, reader = _reader(store, client)
-            ledger.take(Entry("job", 1, encode_submission(stored), None), False)
+            ledger.apply_entry(Entry("job", 1, encode_submission(stored), None), False)
             state = ledger.jobs["job"]
             assert (state.total, state.model, state.is_open) == (_ITEMS, "m", True)
             assert await reader.page(state, 0, 0.0) == (json.dumps("r0"),)
-            assert not state.is_whole
+            assert not state.is_complete
             assert not any(".p" in call for call in store.calls if "GET" in call)
 
     run(work)
@@ -100,14 +100,14 @@
             client = store.client()
             stored = await _accept(client, "job")
             ledger, reader = _reader(store, client)
-            ledger.take(Entry("job", 1, encode_submission(stored), None), False)
+            ledger.apply_entry(Entry("job", 1, encode_submission(stored), None), False)
             state = ledger.jobs["job"]
-            assert await reader.complete(state) is None
+            assert await reader.read_submission(state) is None
             assert not isinstance(state.job, Refusal)
             assert len(state.job.items) == state.total == _ITEMS
             # The watch delivers the submission without fields again: the fields stay.
-            ledger.take(Entry("job", 1, encode_submission(stored), None), False)
-            assert state.is_whole
+            ledger.apply_entry(Entry("job", 1, encode_submission(stored), None), False)
+            assert state.is_complete
 
     run(work)
 
@@ -118,9 +118,9 @@
     earlier = decode_submission(encode_submission(stored) | {"owner": "c@h:3"})
     assert isinstance(earlier, Submission)
     again = Submission("a@h:1", "b", "h", "/", 0.0, _fields(), digest=stored.digest)
-    restored = rejoined(earlier, again)
+    restored = restore_fields(earlier, again)
     assert restored.owner == "c@h:3"
-    assert restored.is_whole
+    assert restored.is_complete
     assert restored.fields == submission.fields
     other = Submission("a@h:1", "b", "h", "/", 0.0, {}, digest="another")
-    assert not rejoined(earlier, other).is_whole
+    assert not restore_fields(earlier, other).is_complete
--- a/pistachioglade/jobs/tests/test_ledger.py
+++ b/pistachioglade/jobs/tests/test_ledger.py
@@ -56,7 +56,7 @@
 
 async def _ledger() -> JobLedger:
     ledger = JobLedger()
-    ledger.take(Entry("job", 1, _submission(), None), False)
+    ledger.apply_entry(Entry("job", 1, _submission(), None), False)
     return ledger
 
 
@@ -84,8 +84,8 @@
         newer = {"owner": "c@h:3", "earlier": "b@h:2", "is_alive": True}
         older = {"owner": "b@h:2", "earlier": "a@h:1", "is_alive": False}
         assert state.owner == "a@h:1"
-        ledger.take(Entry("job.owner", 9, newer, None), False)
-        ledger.take(Entry("job.owner", 5, older, None), False)
+        ledger.apply_entry(Entry("job.owner", 9, newer, None), False)
+        ledger.apply_entry(Entry("job.owner", 5, older, None), False)
         assert (state.owner, state.earlier_owner) == ("c@h:3", "b@h:2")
 
     run(work)
@@ -95,8 +95,8 @@
 def test_unreadable_objects_change_nothing(value: object) -> None:
     async def work() -> None:
         ledger = await _ledger()
-        ledger.take(Entry("other", 2, value, None), False)
-        ledger.take(Entry("job.owner", 2, value, None), False)
+        ledger.apply_entry(Entry("other", 2, value, None), False)
+        ledger.apply_entry(Entry("job.owner", 2, value, None), False)
         assert ledger.find("other") is None
         found = ledger.find("job")
         assert found is not None
@@ -142,13 +142,13 @@
                 value = _submission(accepted_s)
                 stored = await client.create(JOB_KIND, name, value, 5.0)
                 assert isinstance(stored, Entry)
-                ledger.take(stored, False)
+                ledger.apply_entry(stored, False)
                 ledger.jobs[name].first_seen_s = first_seen_s
                 batch = encode_batch(_batch(0, 4))
                 await client.create(RESULT_KIND, f"{name}.r000000", batch, 5.0)
                 end = await client.create(JOB_KIND, f"{name}.end", {}, 5.0)
                 assert isinstance(end, Entry)
-                ledger.take(end, False)
+                ledger.apply_entry(end, False)
             cleaner = JobCleaner(ledger, client, 120.0, lambda _state: True, 0.01)
             task = asyncio.create_task(cleaner.run())
             kept = {(JOB_KIND, "young"), (JOB_KIND, "young.end")}
--- a/pistachioglade/jobs/tests/test_passing_on.py
+++ b/pistachioglade/jobs/tests/test_passing_on.py
@@ -46,7 +46,7 @@
     def change_owner(self) -> None:
         """Make another entry the job's owner."""
         value = {"owner": "other@h:2", "earlier": "me@h:1", "is_alive": True}
-        self.ledger.take(Entry("job.owner", 9, value, None), False)
+        self.ledger.apply_entry(Entry("job.owner", 9, value, None), False)
         assert "job" not in self.owner.runs
 
 
@@ -80,7 +80,9 @@
             owner.enable()
             fields = {"model": "m", "items": [{"id": "i0", "path": "/"}]}
             submission = Submission("me@h:1", "boot", "h", "/", 0.0, fields)
-            ledger.take(Entry("job", 1, encode_submission(submission), None), False)
+            ledger.apply_entry(
+                Entry("job", 1, encode_submission(submission), None), False
+            )
             await eventually(lambda: "job" in owner.runs)
             scene = Scene(owner, ledger, engine)
             await eventually(lambda: scene.events() >= 3)
@@ -102,10 +104,10 @@
         scene.change_owner()
         # Time in which the next owner reads the job.
         await asyncio.sleep(0.2)
-        texts = scene.owner.texts("job")
+        texts = scene.owner.hand_over_texts("job")
         assert len(texts.texts[0].parts) > before + 2
         await eventually(lambda: scene.engine.running == 0)
-        assert scene.owner.texts("job") == texts
+        assert scene.owner.hand_over_texts("job") == texts
 
     run_case(case, Policy())
 
@@ -114,7 +116,7 @@
     async def case(scene: Scene) -> None:
         scene.change_owner()
         await eventually(lambda: scene.engine.running == 0)
-        assert scene.owner.texts("job").texts
+        assert scene.owner.hand_over_texts("job").texts
 
     run_case(case, Policy())
 
@@ -122,7 +124,7 @@
 def test_handed_over_samples_stop_when_the_job_ends() -> None:
     async def case(scene: Scene) -> None:
         scene.change_owner()
-        scene.ledger.take(Entry("job.end", 10, {}, None), False)
+        scene.ledger.apply_entry(Entry("job.end", 10, {}, None), False)
         handed_over = scene.owner._handed_over.get("job")
         assert handed_over is None
         await eventually(lambda: scene.engine.running == 0)
@@ -135,7 +137,7 @@
         before = scene.events()
         scene.change_owner()
         await asyncio.sleep(0.2)
-        assert len(scene.owner.texts("job").texts[0].parts) <= before + 1
+        assert len(scene.owner.hand_over_texts("job").texts[0].parts) <= before + 1
 
     run_case(case, Policy(frozenset({Mechanism.RUNNING_ON})))
 
--- a/pistachioglade/jobs/tests/test_reader.py
+++ b/pistachioglade/jobs/tests/test_reader.py
@@ -30,7 +30,7 @@
     items = [{"id": f"i{number}", "path": "/"} for number in range(4)]
     submission = Submission(owner, "b", "h", "/", 0.0, {"items": items})
     ledger = JobLedger()
-    ledger.take(Entry("job", 1, encode_submission(submission), None), False)
+    ledger.apply_entry(Entry("job", 1, encode_submission(submission), None), False)
     batch = BatchRecord("w", 0, (json.dumps("r0"), json.dumps("r1")), ("i0", "i1"))
     await client.create(RESULT_KIND, "job.r000000", encode_batch(batch), 5.0)
     return ledger
@@ -126,7 +126,7 @@
             read = asyncio.create_task(reader.page(state, 1, 3600.0))
             await eventually(lambda: asked == ["h:2"])
             value = {"owner": "new@h:3", "earlier": "dead@h:2", "is_alive": False}
-            ledger.take(Entry("job.owner", 2, value, None), False)
+            ledger.apply_entry(Entry("job.owner", 2, value, None), False)
             assert await read == ('"r1"',)
             assert asked == ["h:2", "h:3"]
 
--- a/pistachioglade/jobs/tests/test_result_writer.py
+++ b/pistachioglade/jobs/tests/test_result_writer.py
@@ -28,7 +28,7 @@
             items = [{"id": name, "path": "/"} for name in _ITEMS]
             submission = Submission("me@h:1", "b", "h", "/", 0.0, {"items": items})
             entry = Entry("job", 1, encode_submission(submission), None)
-            ledger.take(entry, False)
+            ledger.apply_entry(entry, False)
             state = ledger.jobs["job"]
             assert isinstance(state.job, Job)
             open_items = set(_ITEMS)
--- a/pistachioglade/jobs/tests/test_scheduler.py
+++ b/pistachioglade/jobs/tests/test_scheduler.py
@@ -45,7 +45,7 @@
         "items": [{"id": f"i{number}", "path": "/"} for number in range(items)],
     }
     submission = Submission("a@h:1", "b", "h", "/", 0.0, fields)
-    ledger.take(Entry("job", 1, encode_submission(submission), None), False)
+    ledger.apply_entry(Entry("job", 1, encode_submission(submission), None), False)
     state = ledger.jobs["job"]
     job = state.job
     assert not isinstance(job, Refusal)
--- a/pistachioglade/jobs/tests/test_takeover.py
+++ b/pistachioglade/jobs/tests/test_takeover.py
@@ -154,15 +154,15 @@
     """Add a job of two items whose owner changed from old to new."""
     fields = {"items": [{"id": f"i{number}", "path": "/"} for number in (0, 1)]}
     submission = Submission("old@h:2", "b", "h", "/", 4e9, fields)
-    ledger.take(Entry("job", 1, encode_submission(submission), None), False)
+    ledger.apply_entry(Entry("job", 1, encode_submission(submission), None), False)
     value = {"owner": "new@h:1", "earlier": "old@h:2", "is_alive": False}
-    ledger.take(Entry("job.owner", 2, value, None), False)
+    ledger.apply_entry(Entry("job.owner", 2, value, None), False)
 
 
 def _run_of(ledger: JobLedger, client: StoreClient, writer: str) -> JobRun:
     fields = {"items": [{"id": f"i{number}", "path": "/"} for number in (0, 1)]}
     submission = Submission("old@h:2", "b", "h", "/", 0.0, fields)
-    ledger.take(Entry("job", 1, encode_submission(submission), None), False)
+    ledger.apply_entry(Entry("job", 1, encode_submission(submission), None), False)
     configuration = decode_configuration({"version": 1, "routes": [_ROUTE]})
     assert not isinstance(configuration, Refusal)
     state = ledger.jobs["job"]
--- a/pistachioglade/serving/_entry_program.py
+++ b/pistachioglade/serving/_entry_program.py
@@ -199,7 +199,7 @@
             self._unattended,
             policy,
         )
-        self._owner.on_begin.append(self._versions.refresh_for_job)
+        self._owner.on_run_started.append(self._versions.refresh_for_job)
         self._link_server = LinkServer(identity, self._peers.answer)
         calls = JobCalls(
             self._owner,
@@ -229,7 +229,7 @@
         self._jobs = Mirror(
             self._store,
             JOB_KIND,
-            self._ledger.take,
+            self._ledger.apply_entry,
             gather_s=lambda: _JOBS_GATHER_S,
             may_be_late=lambda: True,
             follow=self._watch_relays.fetch_changes,
@@ -319,7 +319,7 @@
         start("orphans", self._peers.reassign_orphans)
         start("store-ways", self._store_relays.run, may_end=True)
         start("cleaner", self._cleaner.run)
-        start("owner", self._owner.look_around)
+        start("owner", self._owner.run_scheduler)
         start("texts", self._owner.save_texts, may_end=True)
         start("housekeeping", self._do_housekeeping)
         start("settings", self._watch.run)
--- a/pistachioglade/serving/_job_calls.py
+++ b/pistachioglade/serving/_job_calls.py
@@ -24,7 +24,7 @@
     Submission,
     decode_submission,
     encode_submission,
-    rejoined,
+    restore_fields,
     split_submission,
 )
 from ..logs import logger
@@ -98,7 +98,7 @@
             owner=stored.value["owner"],
             took_s=round(asyncio.get_running_loop().time() - request.received_s, 4),
         )
-        self._ledger.take(stored, False)
+        self._ledger.apply_entry(stored, False)
         state = self._ledger.find(job_id)
         if state is not None:
             self._start_notification(self._peers.deliver_job(state, stored))
@@ -144,7 +144,7 @@
             accepted = decode_submission(stored.value)
             if isinstance(accepted, Refusal):
                 return accepted
-            full_submission = rejoined(accepted, sent)
+            full_submission = restore_fields(accepted, sent)
             return attrs.evolve(stored, value=encode_submission(full_submission))
         is_not_run = stored.kind is ErrorKind.PLATFORM_UNAVAILABLE
         return _retry_later(stored) if is_not_run else stored
@@ -174,7 +174,7 @@
                 if stored.kind is ErrorKind.NOT_FOUND:
                     return stored
                 return _retry_later(stored)
-            self._ledger.take(stored, False)
+            self._ledger.apply_entry(stored, False)
             state = self._ledger.find(job_id)
         if state is None:
             return refuse(ErrorKind.INTERNAL, f"{job_id}: unreadable")
@@ -198,7 +198,7 @@
         state = await self._find_job(job_id)
         if isinstance(state, Refusal):
             return state
-        missing = await self._reader.complete(state)
+        missing = await self._reader.read_submission(state)
         if missing is not None:
             return _retry_later(missing)
         if isinstance(state.job, Refusal):
@@ -224,7 +224,7 @@
         self._track(writing)
         await asyncio.wait((writing,), timeout=_END_CHECK_AFTER_S)
         if not writing.done() or writing.result() is not None:
-            is_complete = await self._reader.is_complete(state)
+            is_complete = await self._reader.are_results_complete(state)
             if is_complete:
                 self._log.info("job-complete-ended", job=job_id)
                 return Response(200)
@@ -237,7 +237,7 @@
         stored = await self._store.create(JOB_KIND, name, {}, _END_TIMEOUT_S)
         if isinstance(stored, Refusal):
             return stored
-        self._ledger.take(stored, False)
+        self._ledger.apply_entry(stored, False)
         self._start_notification(self._peers.notify_owner(state.owner, stored))
         self._log.info("job-ended", job=state.id, results=len(state.results))
         return None
--- a/pistachioglade/serving/_peers.py
+++ b/pistachioglade/serving/_peers.py
@@ -27,7 +27,7 @@
     address_of,
     node_of,
     parse_name,
-    sent_text,
+    submission_text,
 )
 from ..links import LinkPool, Peer
 from ..logs import logger
@@ -150,9 +150,9 @@
     @_dispatch.register
     async def _answer_sent_fields(self, message: FetchSent) -> SentFields:
         state = self._ledger.find(message.job_id)
-        if state is None or state.submission is None or not state.is_whole:
+        if state is None or state.submission is None or not state.is_complete:
             return SentFields("")
-        return SentFields(sent_text(state.submission))
+        return SentFields(submission_text(state.submission))
 
     @_dispatch.register
     async def _accept_record(self, message: StoredRecord) -> Acknowledged | Refusal:
@@ -162,7 +162,7 @@
         if is_own_job and not await self._can_take_job():
             return refuse(ErrorKind.PLATFORM_UNAVAILABLE, "takes no jobs now")
         entry = Entry(message.name, message.revision, message.value, None)
-        self._ledger.take(entry, False)
+        self._ledger.apply_entry(entry, False)
         return Acknowledged()
 
     async def _can_take_job(self) -> bool:
@@ -191,7 +191,7 @@
         """Report this entry's running samples to the other owners, forever."""
         while True:
             await asyncio.sleep(_REPORT_SAMPLES_S)
-            co_owners = self._owner.fellow_owners() if self._owner.runs else set()
+            co_owners = self._owner.other_owners() if self._owner.runs else set()
             if not co_owners:
                 continue
             message = SamplesRunning(self._owner.name, self._owner.samples_by_engine())
@@ -204,7 +204,7 @@
 
     @_dispatch.register
     async def _answer_texts(self, message: FetchTexts) -> SampleTexts:
-        return self._owner.texts(message.job_id)
+        return self._owner.hand_over_texts(message.job_id)
 
     @_dispatch.register
     async def _answer_unattended_engine(
@@ -373,7 +373,7 @@
         )
         if isinstance(stored, Entry):
             notified = {owner, state.owner, *self._members.owner_names}
-            self._ledger.take(stored, False)
+            self._ledger.apply_entry(stored, False)
             # Every entry is notified: its readers ask the owner that it knows of, and
             # its watch may be late.
             await asyncio.gather(
--- a/pistachioglade/serving/tests/test_foreign_records.py
+++ b/pistachioglade/serving/tests/test_foreign_records.py
@@ -35,8 +35,8 @@
 ) -> None:
     async def work() -> None:
         ledger = JobLedger()
-        ledger.take(Entry("job", 1, _VALID | dict(invalid_fields), None), False)
-        ledger.take(Entry("other", 2, _VALID, None), False)
+        ledger.apply_entry(Entry("job", 1, _VALID | dict(invalid_fields), None), False)
+        ledger.apply_entry(Entry("other", 2, _VALID, None), False)
         assert ledger.find("other") is not None
         for state in ledger.jobs.values():
             assert not state.submission or isinstance(state.owner, str)
@@ -52,12 +52,12 @@
 def test_the_ledger_ignores_an_invalid_owner_record(value: Any) -> None:
     async def work() -> None:
         ledger = JobLedger()
-        ledger.take(Entry("job", 1, _VALID, None), False)
-        ledger.take(Entry("job.owner", 2, value, None), False)
+        ledger.apply_entry(Entry("job", 1, _VALID, None), False)
+        ledger.apply_entry(Entry("job.owner", 2, value, None), False)
         state = ledger.find("job")
         assert state is not None and state.owner == "a@h:1"
         change = {"owner": "c@h:3", "earlier": "a@h:1", "is_alive": True}
-        ledger.take(Entry("job.owner", 3, change, None), False)
+        ledger.apply_entry(Entry("job.owner", 3, change, None), False)
         assert state.owner == "c@h:3"
 
     run_virtual(work)
--- a/pistachioglade/serving/tests/test_peers.py
+++ b/pistachioglade/serving/tests/test_peers.py
@@ -63,7 +63,7 @@
     members = Members("me", "h:1", 1.0, "b", client, view)
     fields = {"items": [{"id": "i0", "path": "/"}]}
     submission = Submission("other@h:2", "b", "h", "/", 0.0, fields)
-    ledger.take(Entry("job", 1, encode_submission(submission), None), False)
+    ledger.apply_entry(Entry("job", 1, encode_submission(submission), None), False)
     store_relays = StoreRelays(members, client, links)
     peers = Peers(
         members,
