--- a/pistachioglade/entry/_calls.py
+++ b/pistachioglade/entry/_calls.py
@@ -177,7 +177,7 @@
             if result.kind not in _LINK_FAULTS:
                 return result
             if time.monotonic() + _KEYED_RETRY_PAUSE_S >= deadline_s:
-                return result.as_unknown()
+                return result.with_unknown_execution()
             await asyncio.sleep(_KEYED_RETRY_PAUSE_S)
 
     def _is_holder_gone(self, ticket: Ticket) -> bool:
--- a/pistachioglade/entry/_program.py
+++ b/pistachioglade/entry/_program.py
@@ -96,7 +96,9 @@
             reason = "the entry has as many requests as it takes"
             refusal = refuse(ErrorKind.OVERLOADED, reason)
             is_keyed = bool(request.idempotency_key)
-            return refusal_response(refusal.as_unknown() if is_keyed else refusal)
+            return refusal_response(
+                refusal.with_unknown_execution() if is_keyed else refusal
+            )
         assert self._loop is not None
         future = asyncio.run_coroutine_threadsafe(
             self._routes.answer(request), self._loop
--- a/pistachioglade/entry/_routes.py
+++ b/pistachioglade/entry/_routes.py
@@ -123,7 +123,7 @@
             return key
         refusal = self._node.admission()
         if refusal is not None:
-            return refusal if key is None else refusal.as_unknown()
+            return refusal if key is None else refusal.with_unknown_execution()
         with self._node.tracing.span(
             "entry.call", request.traceparent, caller=caller.name, upstream=upstream
         ) as traceparent:
--- a/pistachioglade/errors/_refusal.py
+++ b/pistachioglade/errors/_refusal.py
@@ -30,7 +30,7 @@
         """Whether the request is known not to have run."""
         return self.execution is Execution.NOT_RUN
 
-    def as_unknown(self) -> Refusal:
+    def with_unknown_execution(self) -> Refusal:
         """Return this refusal with an unknown execution."""
         return attrs.evolve(self, execution=Execution.UNKNOWN)
 
--- a/pistachioglade/forwarding/_forward.py
+++ b/pistachioglade/forwarding/_forward.py
@@ -122,7 +122,7 @@
             guard.record_result(
                 handle.instance, last if isinstance(last, Refusal) else None
             )
-            self._metrics.tried(
+            self._metrics.record_attempt(
                 last.kind.value if isinstance(last, Refusal) else str(last.status)
             )
             self._log.info(
--- a/pistachioglade/forwarding/_stream.py
+++ b/pistachioglade/forwarding/_stream.py
@@ -164,7 +164,7 @@
         finally:
             record.outstanding -= 1
         outcome = "whole" if answer is None else _outcome_name(answer)
-        self._metrics.tried(outcome)
+        self._metrics.record_attempt(outcome)
         self._log.info(
             "stream-tried",
             request=call.request_id,
--- a/pistachioglade/jobs/_result_writer.py
+++ b/pistachioglade/jobs/_result_writer.py
@@ -239,7 +239,7 @@
         """Add the batch that the store accepted at a number, own or another node's."""
         self._ledger.add_batch(self._state, number, accepted)
         age_s = asyncio.get_running_loop().time() - oldest_s
-        self._metrics.results_listed(len(accepted.results), age_s)
+        self._metrics.record_results(len(accepted.results), age_s)
         self._log.info(
             "results-listed" if is_own else "results-of-another-node",
             job=self._state.id,
--- a/pistachioglade/jobs/_sample_scheduler.py
+++ b/pistachioglade/jobs/_sample_scheduler.py
@@ -273,7 +273,7 @@
         begun_s: float,
     ) -> None:
         now_s = asyncio.get_running_loop().time()
-        self._metrics.item_tried(result.end.value, now_s - begun_s)
+        self._metrics.record_item_attempt(result.end.value, now_s - begun_s)
         self._log.info(
             "item-tried",
             job=run.job.id,
--- a/pistachioglade/metrics/_metrics.py
+++ b/pistachioglade/metrics/_metrics.py
@@ -99,46 +99,46 @@
             registry=self._registry,
         )
 
-    def task_failed(self, name: str) -> None:
+    def record_task_failure(self, name: str) -> None:
         """Count a failure of background work."""
         self._task_failures.labels(name).inc()
 
-    def unreadable(self, kind: str) -> None:
+    def record_unreadable(self, kind: str) -> None:
         """Count an answer or an object of the store that could not be read."""
         self._unreadable.labels(kind).inc()
 
-    def gauge(self, name: str, text: str, read: Callable[[], float]) -> None:
+    def register_gauge(self, name: str, text: str, read: Callable[[], float]) -> None:
         """Expose a value that ``read`` returns at each scrape."""
         Gauge(name, text, registry=self._registry).set_function(read)
 
-    def request_answered(self, call: str, status: int, took_s: float) -> None:
+    def record_request(self, call: str, status: int, took_s: float) -> None:
         """Count a caller's answered request and its time."""
         self._requests.labels(call, status).inc()
         self._request_s.labels(call).observe(took_s)
 
-    def tried(self, outcome: str) -> None:
+    def record_attempt(self, outcome: str) -> None:
         """Count an attempt at an instance."""
         self._tries.labels(outcome).inc()
 
-    def stream_ended(self, end: str) -> None:
+    def record_stream_end(self, end: str) -> None:
         """Count the end of a caller's stream that had begun."""
         self._streams.labels(end).inc()
 
-    def item_tried(self, outcome: str, took_s: float) -> None:
+    def record_item_attempt(self, outcome: str, took_s: float) -> None:
         """Count an attempt at a sample and its time."""
         self._item_tries.labels(outcome).inc()
         self._item_s.observe(took_s)
 
-    def results_listed(self, count: int, oldest_age_s: float) -> None:
+    def record_results(self, count: int, oldest_age_s: float) -> None:
         """Count the results of a batch in the store and record the oldest age."""
         self._results.inc(count)
         self._result_age_s.observe(oldest_age_s)
 
-    def store_called(self, method: str, outcome: str, took_s: float) -> None:
+    def record_store_call(self, method: str, outcome: str, took_s: float) -> None:
         """Count a call to the store and its time."""
         self._store_calls.labels(method, outcome).inc()
         self._store_s.observe(took_s)
 
-    def text(self) -> bytes:
+    def render(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
--- a/pistachioglade/metrics/_server.py
+++ b/pistachioglade/metrics/_server.py
@@ -19,7 +19,7 @@
 
     async def answer(request: Request, reply: Reply) -> None:
         if request.path == METRICS_PATH:
-            reply.send(Response(200, _TYPE, metrics.text()))
+            reply.send(Response(200, _TYPE, metrics.render()))
         else:
             reply.send(Response(404))
 
--- a/pistachioglade/metrics/tests/test_metrics.py
+++ b/pistachioglade/metrics/tests/test_metrics.py
@@ -10,9 +10,9 @@
 def test_counters_and_histograms_are_served() -> None:
     async def work() -> bytes:
         metrics = Metrics()
-        metrics.request_answered("route", 200, 0.03)
-        metrics.store_called("POST", "lost", 1.0)
-        metrics.gauge("pistachioglade_example", "An example.", lambda: 3.0)
+        metrics.record_request("route", 200, 0.03)
+        metrics.record_store_call("POST", "lost", 1.0)
+        metrics.register_gauge("pistachioglade_example", "An example.", lambda: 3.0)
         server = await serve_metrics(metrics, "127.0.0.1", 0)
         pool = Pool("127.0.0.1", server.port)
         missing = await pool.request("GET", "/", (), b"", 5.0)
--- a/pistachioglade/serving/_entry_gauges.py
+++ b/pistachioglade/serving/_entry_gauges.py
@@ -19,27 +19,27 @@
     crashes: CrashLedger,
 ) -> None:
     """Register an entry's gauges."""
-    metrics.gauge(
+    metrics.register_gauge(
         "pistachioglade_busy_connections",
         "Callers' connections with a request in progress.",
         lambda: callers.busy_count,
     )
-    metrics.gauge(
+    metrics.register_gauge(
         "pistachioglade_jobs_running",
         "Jobs that this entry runs.",
         lambda: len(owner.runs),
     )
-    metrics.gauge(
+    metrics.register_gauge(
         "pistachioglade_unlisted_instance_seconds",
         "Longest time for which an instance is in use that left the list.",
         lambda: view.longest_lapse_s,
     )
-    metrics.gauge(
+    metrics.register_gauge(
         "pistachioglade_instances_age_seconds",
         "Time since the store last told of the list of instances.",
         lambda: instances.age_s,
     )
-    metrics.gauge(
+    metrics.register_gauge(
         "pistachioglade_quarantined_requests",
         "Requests that are refused since instances ended while they ran them.",
         lambda: crashes.quarantined_count,
--- a/pistachioglade/serving/_ingress.py
+++ b/pistachioglade/serving/_ingress.py
@@ -55,7 +55,7 @@
         """Answer one request."""
         answer = await self._answer(request, reply)
         if isinstance(answer, StreamEnd):
-            self._metrics.stream_ended(answer.value)
+            self._metrics.record_stream_end(answer.value)
             return
         if isinstance(answer, Refusal):
             self._log.info(
@@ -75,7 +75,7 @@
         reply.send(answer)
         took_s = asyncio.get_running_loop().time() - request.received_s
         call = "job" if request.path.startswith(_JOB_PREFIXES) else "route"
-        self._metrics.request_answered(call, answer.status, took_s)
+        self._metrics.record_request(call, answer.status, took_s)
 
     async def _answer(
         self, request: Request, reply: Reply
--- a/pistachioglade/serving/_start.py
+++ b/pistachioglade/serving/_start.py
@@ -56,7 +56,7 @@
         return _USAGE_STATUS
     writer = configure_bounded_logs(settings.node, arguments[0])
     metrics = Metrics()
-    metrics.gauge(
+    metrics.register_gauge(
         "pistachioglade_log_lines_dropped",
         "Log lines dropped because they were too many or their reader too slow.",
         lambda: writer.dropped,
--- a/pistachioglade/serving/tests/test_failing_work.py
+++ b/pistachioglade/serving/tests/test_failing_work.py
@@ -89,7 +89,7 @@
         await asyncio.sleep(5.0)
         assert failed == [name]
         expected = f'pistachioglade_task_failures_total{{task="{name}"}} 1.0'
-        assert expected.encode() in metrics.text()
+        assert expected.encode() in metrics.render()
         assert not program._is_leaving.is_set()
         program._supervisor.stop()
 
--- a/pistachioglade/store/_client.py
+++ b/pistachioglade/store/_client.py
@@ -123,7 +123,7 @@
         if not call.is_watch:
             outcome = "lost" if isinstance(answer, Refusal) else str(answer.status)
             took_s = asyncio.get_running_loop().time() - begun_s
-            self._metrics.store_called(call.method, outcome, took_s)
+            self._metrics.record_store_call(call.method, outcome, took_s)
         return answer
 
     def _record_direct_answer(self, answer: Response | Refusal, begun_s: float) -> None:
@@ -314,10 +314,10 @@
     def _log_faults(self, kind: str, read: EntryPage | EntryChanges | Refusal) -> None:
         """Count and log an unreadable answer, or objects without a name."""
         if isinstance(read, Refusal):
-            self._metrics.unreadable(kind)
+            self._metrics.record_unreadable(kind)
             self._log.error("store-unreadable", kind=kind, reason=read.reason)
         elif read.nameless:
-            self._metrics.unreadable(kind)
+            self._metrics.record_unreadable(kind)
             self._log.error("store-objects-nameless", kind=kind, count=read.nameless)
 
     async def create(
--- a/pistachioglade/tasks/_supervisor.py
+++ b/pistachioglade/tasks/_supervisor.py
@@ -51,7 +51,7 @@
             if error is None and may_end:
                 return
             failures = failures_in_a_row(failures, clock() - started_s)
-            self._metrics.task_failed(name)
+            self._metrics.record_task_failure(name)
             self._log.error(
                 "task-failed",
                 task=name,
--- a/pistachioglade/tasks/tests/test_supervisor.py
+++ b/pistachioglade/tasks/tests/test_supervisor.py
@@ -54,7 +54,7 @@
         await asyncio.sleep(5.0)
         assert len(recorded.starts_s) == 2
         assert 0.05 <= recorded.starts_s[1] - 1.0 <= 0.1
-        assert b'task_failures_total{task="work"} 1.0' in recorded.metrics.text()
+        assert b'task_failures_total{task="work"} 1.0' in recorded.metrics.render()
 
     run_virtual(work)
 
