--- a/pistachioglade/forwarding/__init__.py
+++ b/pistachioglade/forwarding/__init__.py
@@ -4,7 +4,7 @@
 from ._fleet_view import FleetView, InstanceHandle
 from ._forward import ForwardedAnswer, ForwardedCall, Forwarder
 from ._stream import StreamEnd, StreamForwarder, StreamSink
-from ._upstream_call import call_instance, note_refusal
+from ._upstream_call import call_instance, record_refusal
 
 __all__ = [
     "EventDecoder",
@@ -18,5 +18,5 @@
     "StreamForwarder",
     "StreamSink",
     "call_instance",
-    "note_refusal",
+    "record_refusal",
 ]
--- a/pistachioglade/forwarding/_fleet_view.py
+++ b/pistachioglade/forwarding/_fleet_view.py
@@ -78,7 +78,7 @@
         # Monotonic time of the last request to read the list again, in seconds.
         self._list_read_s = float("-inf")
         # Called when the list of instances turns out to be out of date.
-        self.on_outdated: list[Callable[[], None]] = []
+        self.on_list_outdated: list[Callable[[], None]] = []
         # Instances whose entries can't be decoded. These instances get no new requests.
         self._unreadable: set[str] = set()
         # The configuration in force; None before the first.
@@ -97,7 +97,7 @@
     def _now_s(self) -> float:
         return asyncio.get_running_loop().time()
 
-    def take_configuration(self, entry: Entry, is_removed: bool) -> None:
+    def apply_configuration(self, entry: Entry, is_removed: bool) -> None:
         """Apply a configuration entry unless the entry is not newer or is malformed."""
         if is_removed or entry.name != names.CONFIGURATION_NAME:
             return
@@ -113,7 +113,7 @@
             callback()
         self._notify_change()
 
-    def take_instance(self, entry: Entry, is_removed: bool) -> None:
+    def apply_instance(self, entry: Entry, is_removed: bool) -> None:
         """Apply a changed or removed entry of the list of instances."""
         if is_removed:
             self._apply_removal(entry.name)
@@ -190,7 +190,7 @@
         self._remove(instance_id)
 
     @property
-    def longest_lapse_s(self) -> float:
+    def longest_unlisted_s(self) -> float:
         """Longest time for which an unlisted instance has stayed in use, in seconds."""
         now_s = self._now_s()
         return max(
@@ -263,7 +263,7 @@
             for item in self.open_instances(upstream)
         )
 
-    def note_samples(self, owner: str, by_engine: Mapping[str, int]) -> None:
+    def record_samples(self, owner: str, by_engine: Mapping[str, int]) -> None:
         """Record how many samples of another owner's jobs run on each engine."""
         now_s = self._now_s()
         for instance_id, record in self.records.items():
@@ -290,15 +290,15 @@
         self._log.warning("instance-absent", instance=handle.id)
         if should_read_list(self._absent_since_s.values(), self._list_read_s, now_s):
             self._list_read_s = now_s
-            for callback in self.on_outdated:
+            for callback in self.on_list_outdated:
                 callback()
 
-    def note_present(self, handle: InstanceHandle) -> None:
+    def mark_present(self, handle: InstanceHandle) -> None:
         """Record that the instance itself has answered at its address."""
         handle.record.has_answered = True
         self._absent_since_s.pop(handle.id, None)
 
-    def may_send_to(self, instance_id: str) -> bool:
+    def accepts_requests(self, instance_id: str) -> bool:
         """Whether an instance is known and gets new requests."""
         found = self.instances.get(instance_id)
         return found is not None and self._is_open(found)
--- a/pistachioglade/forwarding/_forward.py
+++ b/pistachioglade/forwarding/_forward.py
@@ -41,7 +41,7 @@
     deadline_s: float
     # Number of answers with status 500 after which no further try is made; None if
     # only the route's number of tries counts.
-    most_failures: int | None = None
+    max_failures: int | None = None
 
 
 @attrs.frozen
@@ -51,7 +51,7 @@
     # Answer of an instance, or the reason why there is none.
     answer: Response | Refusal
     # Number of answers with status 500 that instances gave.
-    failures: int
+    failed_answers: int
 
 
 class Forwarder:
@@ -72,7 +72,7 @@
         self._budget = budget or RetryBudget(RETRY_PERCENT)
         self._log = logger(__name__)
 
-    def call_for(
+    def create_call(
         self, request: Request, request_id: str, route: Route
     ) -> ForwardedCall:
         """Return the call; its deadline is the earlier of the caller's and route's."""
@@ -139,7 +139,7 @@
             may_have_run |= not (isinstance(last, Refusal) and last.did_not_run)
             failed = isinstance(last, Refusal) or last.status >= 500
             failures += not isinstance(last, Refusal) and last.status == 500
-            if call.most_failures is not None and failures >= call.most_failures:
+            if call.max_failures is not None and failures >= call.max_failures:
                 break
             remaining_s = call.deadline_s - loop.time()
             did_not_run = isinstance(last, Refusal) and last.did_not_run
--- a/pistachioglade/forwarding/_stream.py
+++ b/pistachioglade/forwarding/_stream.py
@@ -64,7 +64,7 @@
     """How a caller's stream ended."""
 
     # Complete.
-    WHOLE = "whole"
+    COMPLETE = "whole"
     # Broken after the head of the answer was sent.
     BROKEN_OFF = "broken-off"
 
@@ -128,7 +128,7 @@
             guard.record_result(handle.instance, fault)
             if answer is None:
                 sink.finish()
-                return StreamEnd.WHOLE
+                return StreamEnd.COMPLETE
             last = answer
             did_not_run = isinstance(last, Refusal) and last.did_not_run
             may_have_run |= not did_not_run
--- a/pistachioglade/forwarding/_upstream_call.py
+++ b/pistachioglade/forwarding/_upstream_call.py
@@ -112,14 +112,14 @@
         record.told_load(load.running, load.waiting, now_s)
     if fault is None:
         record.answered()
-        view.note_present(handle)
+        view.mark_present(handle)
     elif fault.kind is ErrorKind.OVERLOADED and head is not None:
-        note_refusal(view, handle, head, now_s)
+        record_refusal(view, handle, head, now_s)
     else:
         record.failed(now_s)
 
 
-def note_refusal(
+def record_refusal(
     view: FleetView,
     handle: InstanceHandle,
     head: Response | ResponseHead,
--- a/pistachioglade/forwarding/tests/test_crashes.py
+++ b/pistachioglade/forwarding/tests/test_crashes.py
@@ -50,12 +50,12 @@
         instance.on_crash = lambda: self._remove(instance)
         self.instances.append(instance)
         entry = Entry(instance.id, number + 1, instance.entry(), None)
-        self.view.take_instance(entry, False)
+        self.view.apply_instance(entry, False)
         return instance
 
     def _remove(self, instance: FleetInstance) -> None:
         entry = Entry(instance.id, 0, instance.entry(), None)
-        self.view.take_instance(entry, True)
+        self.view.apply_instance(entry, True)
 
     def runs(self) -> int:
         return sum(instance.runs.total() for instance in self.instances)
@@ -85,7 +85,7 @@
     forwarder = Forwarder(upstream.view, "a")
 
     async def send() -> Response | Refusal | None:
-        return await forwarder.forward(forwarder.call_for(_request(), "r", _ROUTE))
+        return await forwarder.forward(forwarder.create_call(_request(), "r", _ROUTE))
 
     return send
 
@@ -97,9 +97,9 @@
 
     async def send() -> Response | Refusal | None:
         answer = await forwarder.forward(
-            calls.call_for(_request(), "r", route), _Sink()
+            calls.create_call(_request(), "r", route), _Sink()
         )
-        return None if answer is StreamEnd.WHOLE else answer  # type: ignore[return-value]
+        return None if answer is StreamEnd.COMPLETE else answer  # type: ignore[return-value]
 
     return send
 
--- a/pistachioglade/forwarding/tests/test_fleet_view.py
+++ b/pistachioglade/forwarding/tests/test_fleet_view.py
@@ -39,12 +39,12 @@
         outage = StoreOutage(returned_s=returned_s)
         view = FleetView(lambda: outage.age_s(now_s))
         view._now_s = lambda: now_s  # type: ignore[method-assign]
-        view.take_instance(_ENTRY, False)
+        view.apply_instance(_ENTRY, False)
         now_s = removed_s
-        view.take_instance(_ENTRY, True)
+        view.apply_instance(_ENTRY, True)
         now_s = at_s
         view.expire_lapsed()
-        assert view.may_send_to("i-1") is is_open
+        assert view.accepts_requests("i-1") is is_open
 
     run(work)
 
@@ -54,13 +54,13 @@
         now_s = 0.0
         view = FleetView(lambda: 0.0)
         view._now_s = lambda: now_s  # type: ignore[method-assign]
-        view.take_instance(_ENTRY, False)
-        assert view.longest_lapse_s == 0.0
-        view.take_instance(_ENTRY, True)
+        view.apply_instance(_ENTRY, False)
+        assert view.longest_unlisted_s == 0.0
+        view.apply_instance(_ENTRY, True)
         now_s = 1.5
-        assert view.longest_lapse_s == 1.5
-        view.take_instance(_ENTRY, False)
-        assert view.longest_lapse_s == 0.0
+        assert view.longest_unlisted_s == 1.5
+        view.apply_instance(_ENTRY, False)
+        assert view.longest_unlisted_s == 0.0
 
     run(work)
 
@@ -85,15 +85,15 @@
     async def work() -> None:
         view = FleetView(lambda: None)
         other = instance_entry("lm")
-        view.take_instance(Entry("i-2", 1, other, None), False)
+        view.apply_instance(Entry("i-2", 1, other, None), False)
         for revision, state in enumerate(states, 2):
             value = instance_entry("lm", state=state)
-            view.take_instance(Entry("i-1", revision, value, None), False)
-        assert view.may_send_to("i-1") is is_open
-        assert view.may_send_to("i-2")
+            view.apply_instance(Entry("i-1", revision, value, None), False)
+        assert view.accepts_requests("i-1") is is_open
+        assert view.accepts_requests("i-2")
         assert ("i-1" in {item.id for item in view.open_instances("lm")}) is is_open
-        view.take_instance(Entry("i-1", 9, None, None), True)
-        assert not view.may_send_to("i-1")
+        view.apply_instance(Entry("i-1", 9, None, None), True)
+        assert not view.accepts_requests("i-1")
 
     run(work)
 
@@ -131,9 +131,9 @@
     async def work() -> None:
         view = FleetView(lambda: None)
         for revision, value in enumerate(entries, 1):
-            view.take_instance(Entry("i-1", revision, value, None), False)
+            view.apply_instance(Entry("i-1", revision, value, None), False)
         assert view.records["i-1"].versions == {"m": version}
-        assert view.may_send_to("i-1") is is_open
+        assert view.accepts_requests("i-1") is is_open
 
     run(work)
 
@@ -141,13 +141,13 @@
 def test_a_restart_discards_the_record_and_closes_connections() -> None:
     async def work() -> None:
         view = FleetView(lambda: None)
-        view.take_instance(Entry("i-1", 1, _entry_value(5, 3), None), False)
+        view.apply_instance(Entry("i-1", 1, _entry_value(5, 3), None), False)
         view.records["i-1"].failed(100.0)
         view.records["i-1"].told_load(7, 1, 100.0)
         pool = view.pools["i-1"]
         connection = ClientConnection()
         pool._busy.add(connection)
-        view.take_instance(Entry("i-1", 2, _entry_value(6, 1), None), False)
+        view.apply_instance(Entry("i-1", 2, _entry_value(6, 1), None), False)
         assert connection.is_closed
         assert view.pools["i-1"] is not pool
         assert not view.records["i-1"].is_resting(100.0)
--- a/pistachioglade/http1/_server.py
+++ b/pistachioglade/http1/_server.py
@@ -166,7 +166,7 @@
             Reply(self).send(Response(status))
         self.close()
 
-    def check_time(self, now_s: float) -> None:
+    def close_if_timed_out(self, now_s: float) -> None:
         """Close the connection if its idle or header timeout has passed."""
         limits = self._server.limits
         if self._task is not None:
@@ -283,10 +283,10 @@
         port: int = self._server.sockets[0].getsockname()[1]
         return port
 
-    def check_time(self, now_s: float) -> None:
+    def close_timed_out(self, now_s: float) -> None:
         """Close connections whose idle or header timeout has passed."""
         for connection in tuple(self.connections):
-            connection.check_time(now_s)
+            connection.close_if_timed_out(now_s)
 
     def close_idle(self) -> None:
         """Close the idle connections."""
--- a/pistachioglade/http1/tests/test_server.py
+++ b/pistachioglade/http1/tests/test_server.py
@@ -90,7 +90,7 @@
         writer.write(sent)
         while not server.connections or next(iter(server.connections)).is_idle:
             await asyncio.sleep(0.01)
-        server.check_time(asyncio.get_running_loop().time() + 1.0)
+        server.close_timed_out(asyncio.get_running_loop().time() + 1.0)
         return await reader.read()
 
     assert b"408 " in run(work)
--- a/pistachioglade/jobs/_sample_scheduler.py
+++ b/pistachioglade/jobs/_sample_scheduler.py
@@ -193,7 +193,7 @@
         if (
             instance_id is None
             or record is None
-            or not self._view.may_send_to(instance_id)
+            or not self._view.accepts_requests(instance_id)
         ):
             return False
         eligible = table.of(_requirement_of(run, sample))
@@ -309,7 +309,7 @@
             scored, max_failures = await self._call_reward(reward, failures)
             if isinstance(scored.answer, Response) and scored.answer.status < 300:
                 return signature(scored.answer)
-            failures += scored.failures
+            failures += scored.failed_answers
             if failures >= max_failures:
                 run.give_up(sample, f"its reward call failed {failures} times")
                 return None
@@ -341,6 +341,6 @@
             reward.body,
             asyncio.get_running_loop().time(),
         )
-        call = self._forwarder.call_for(request, reward.id, route)
-        limited_call = attrs.evolve(call, most_failures=route.max_attempts - failures)
+        call = self._forwarder.create_call(request, reward.id, route)
+        limited_call = attrs.evolve(call, max_failures=route.max_attempts - failures)
         return await self._forwarder.forward_counted(limited_call), route.max_attempts
--- a/pistachioglade/jobs/_sample_try.py
+++ b/pistachioglade/jobs/_sample_try.py
@@ -16,7 +16,7 @@
     FleetView,
     InstanceHandle,
     StreamEvent,
-    note_refusal,
+    record_refusal,
 )
 from ..http1 import ClientConnection, Exchange, ResponseHead
 from ..platform import (
@@ -133,7 +133,7 @@
 
     async def run(self, host: str, time_left_s: float) -> TryResult:
         """Run until the stream ends or fails."""
-        if not self._view.may_send_to(self._handle.id):
+        if not self._view.accepts_requests(self._handle.id):
             # The instance left the list after the choice, before this task first ran.
             return TryResult(TryEnd.NOT_RUN, "not listed any more")
         connection: ClientConnection | Refusal | None = None
@@ -177,7 +177,7 @@
             self._record.failed(now_s)
         elif result.end is TryEnd.COMPLETE:
             self._record.answered(self._model)
-            self._view.note_present(self._handle)
+            self._view.mark_present(self._handle)
         return result
 
     def _send(
@@ -211,7 +211,7 @@
     def _record_answer(self) -> None:
         had_answered = self._record.has_answered
         self._record.loaded(self._model)
-        self._view.note_present(self._handle)
+        self._view.mark_present(self._handle)
         if not had_answered and self._on_first_answer is not None:
             self._on_first_answer()
 
@@ -226,7 +226,7 @@
             return TryResult(TryEnd.BROKEN, "an answer to another request")
         if did_not_run(head):
             now_s = asyncio.get_running_loop().time()
-            kind = note_refusal(self._view, self._handle, head, now_s, self._model)
+            kind = record_refusal(self._view, self._handle, head, now_s, self._model)
             return TryResult(TryEnd.NOT_RUN, f"{kind.value}, by a {head.status}")
         if head.status == 422:
             return TryResult(TryEnd.IMPOSSIBLE, "422")
--- a/pistachioglade/jobs/tests/test_passing_on.py
+++ b/pistachioglade/jobs/tests/test_passing_on.py
@@ -57,9 +57,9 @@
             view = FleetView(lambda: None)
             engine = FleetInstance("engine", "lm", ("m",), events=500, event_s=0.02)
             await engine.start()
-            view.take_instance(Entry("engine", 1, engine.entry(), None), False)
+            view.apply_instance(Entry("engine", 1, engine.entry(), None), False)
             configuration = {"version": 1, "routes": [_ROUTE]}
-            view.take_configuration(
+            view.apply_configuration(
                 Entry(names.CONFIGURATION_NAME, 1, configuration, None), False
             )
             ledger = JobLedger()
@@ -159,7 +159,7 @@
         runs["job"] = run_of(JobLedger(), 4)
         begun = runs["job"].samples["i3"]
         begun.text.parts, begun.text.last_event = ["x"], 0
-        view.take_instance(instance_entry_of("one"), False)
+        view.apply_instance(instance_entry_of("one"), False)
         # An instance that has never answered gets a single sample at a time.
         view.records["one"].answered()
         scheduler.is_enabled = True
--- a/pistachioglade/jobs/tests/test_replaced_instances.py
+++ b/pistachioglade/jobs/tests/test_replaced_instances.py
@@ -51,7 +51,7 @@
         for engine in found:
             await engine.start()
         outdated: list[None] = []
-        view.on_outdated.append(lambda: outdated.append(None))
+        view.on_list_outdated.append(lambda: outdated.append(None))
         scheduler.is_enabled = True
         scheduling = asyncio.create_task(scheduler.run())
         try:
@@ -66,7 +66,7 @@
 
 
 def _list(view: FleetView, engine: FleetInstance, name: str, revision: int) -> None:
-    view.take_instance(Entry(name, revision, engine.entry(), None), False)
+    view.apply_instance(Entry(name, revision, engine.entry(), None), False)
 
 
 @pytest.mark.parametrize("engines", [20, 200])
@@ -83,7 +83,7 @@
         assert 1 <= len(scene.outdated) <= 1 + passed_s
         for index, engine in enumerate(scene.engines):
             _list(scene.view, engine, engine.id, 2)
-            scene.view.take_instance(Entry(f"old-{index}", 3, {}, None), True)
+            scene.view.apply_instance(Entry(f"old-{index}", 3, {}, None), True)
         # Samples start as soon as the new list is known.
         await eventually(lambda: any(engine.running for engine in scene.engines))
         await eventually(lambda: not scene.job.samples)
@@ -96,7 +96,7 @@
     async def case(scene: _Scene) -> None:
         engine = scene.engines[0]
         _list(scene.view, engine, "old", 1)
-        await eventually(lambda: not scene.view.may_send_to("old"))
+        await eventually(lambda: not scene.view.accepts_requests("old"))
         engine.id = "old"
         await asyncio.sleep(0.3)
         assert not engine.runs
--- a/pistachioglade/jobs/tests/test_scheduler.py
+++ b/pistachioglade/jobs/tests/test_scheduler.py
@@ -71,13 +71,13 @@
         runs: dict[str, JobRun] = {}
         scheduler = SampleScheduler(view, Forwarder(view, "a"), Metrics(), runs)
         runs["job"] = run_of(JobLedger(), 2)
-        view.take_instance(instance_entry_of("gone"), False)
+        view.apply_instance(instance_entry_of("gone"), False)
         view.records["gone"].answered()
         scheduler.is_enabled = True
         scheduler.start_waiting_samples()
         samples = list(runs["job"].samples.values())
         assert [sample.running_at for sample in samples] == ["gone", "gone"]
-        view.take_instance(instance_entry_of("gone"), True)
+        view.apply_instance(instance_entry_of("gone"), True)
         for _ in range(3):
             await asyncio.sleep(0)
         assert all(sample.is_waiting for sample in samples)
@@ -98,7 +98,7 @@
         scheduler = SampleScheduler(view, Forwarder(view, "a"), Metrics(), runs)
         runs["job"] = run_of(JobLedger(), 7)
         for name in ("one", "two", "three"):
-            view.take_instance(instance_entry_of(name), False)
+            view.apply_instance(instance_entry_of(name), False)
             # An instance that has never answered gets a single sample at a time.
             view.records[name].answered()
         scheduler.is_enabled = True
@@ -123,7 +123,7 @@
         scheduler = SampleScheduler(view, Forwarder(view, "a"), Metrics(), runs)
         runs["job"] = run_of(JobLedger(), 200)
         for number in range(40):
-            view.take_instance(instance_entry_of(f"engine-{number}"), False)
+            view.apply_instance(instance_entry_of(f"engine-{number}"), False)
             view.records[f"engine-{number}"].versions["m"] = -1
         calls = 0
         open_handles = view.open_handles
@@ -156,7 +156,7 @@
 
         scheduler.start_waiting_samples = count  # type: ignore[method-assign]
         for number in range(40):
-            view.take_instance(instance_entry_of(f"engine-{number}"), False)
+            view.apply_instance(instance_entry_of(f"engine-{number}"), False)
         await asyncio.sleep(0.01)
         assert passes == 1
 
--- a/pistachioglade/jobs/tests/test_takeover.py
+++ b/pistachioglade/jobs/tests/test_takeover.py
@@ -133,7 +133,7 @@
     view = FleetView(lambda: None)
     configuration = {"version": 1, "routes": [_ROUTE]}
     entry = Entry(names.CONFIGURATION_NAME, 1, configuration, None)
-    view.take_configuration(entry, False)
+    view.apply_configuration(entry, False)
     ledger = JobLedger()
     links = LinkPool(Identity("new", ""))
     reader = JobReader("new@h:1", ledger, client, links, lambda _job: False)
--- a/pistachioglade/quarantine/_ledger.py
+++ b/pistachioglade/quarantine/_ledger.py
@@ -169,7 +169,7 @@
             is_quarantined=is_quarantined(len(record.instances)),
         )
 
-    def note_reported(self, digest: str, instances: Iterable[str]) -> None:
+    def record_reported(self, digest: str, instances: Iterable[str]) -> None:
         """Record crashes that another entry could not yet write to the store."""
         record = self._find_or_add(digest)
         if record is None or record.instances.issuperset(instances):
--- a/pistachioglade/quarantine/tests/test_ledger.py
+++ b/pistachioglade/quarantine/tests/test_ledger.py
@@ -35,7 +35,7 @@
     def case(ledger: CrashLedger) -> None:
         ledger.record_crash("d", "i-1", "r")
         ledger.record_crash("d", "i-1", "r")
-        ledger.note_reported("d", ["i-1", "i-2"])
+        ledger.record_reported("d", ["i-1", "i-2"])
         ledger.apply_stored("d", _stored(5, "i-2", "i-3"))
         assert _instances(ledger) == {"i-1", "i-2", "i-3"}
         assert ledger.quarantined_count == 1
@@ -131,7 +131,7 @@
 
 def test_one_run_at_a_time_from_two_crashes_on() -> None:
     def case(ledger: CrashLedger) -> None:
-        ledger.note_reported("d", ["i-1", "i-2"])
+        ledger.record_reported("d", ["i-1", "i-2"])
         with ledger.running("d"):
             assert ledger.decide_admission("d", _OPEN).admission is Admission.REFUSE
         assert ledger.decide_admission("d", _OPEN).admission is Admission.SEND
--- a/pistachioglade/serving/_engine_program.py
+++ b/pistachioglade/serving/_engine_program.py
@@ -127,7 +127,7 @@
         return Acknowledged()
 
     def _apply_version(self, model: str, version: int, source: str) -> None:
-        if self._orders.want(model, version):
+        if self._orders.record_named_version(model, version):
             self._log.info("version-named", model=model, version=version, source=source)
             self._has_new_version.set()
 
--- a/pistachioglade/serving/_entry_gauges.py
+++ b/pistachioglade/serving/_entry_gauges.py
@@ -32,7 +32,7 @@
     metrics.register_gauge(
         "pistachioglade_unlisted_instance_seconds",
         "Longest time for which an instance is in use that left the list.",
-        lambda: view.longest_lapse_s,
+        lambda: view.longest_unlisted_s,
     )
     metrics.register_gauge(
         "pistachioglade_instances_age_seconds",
--- a/pistachioglade/serving/_entry_program.py
+++ b/pistachioglade/serving/_entry_program.py
@@ -31,7 +31,7 @@
 from ..quarantine import CRASH_KIND, CrashLedger, CrashRecordStore
 from ..store import Mirror, StoreClient
 from ..tasks import Supervisor
-from ..weights import UnattendedEngines
+from ..weights import FallbackEngineOrders
 from ._entry_gauges import register_gauges
 from ._ingress import Ingress
 from ._job_calls import JobCalls
@@ -64,8 +64,7 @@
 #: Time from the start of a shutdown until idle connections are closed. The platform
 #: removes a node from rotation after two failed readiness checks, a second apart.
 _ROTATION_EXIT_S: Final = 2.3
-#: Retries per hundred first attempts where the retry budget is off: more than the
-#: attempts of any route allow.
+#: Retries per hundred first attempts if the budget is off: more than any route allows.
 _UNBOUNDED_PERCENT: Final = 100_000
 #: Fraction of the grace period after which a shutdown stops waiting for requests.
 _GRACE_FRACTION: Final = 0.8
@@ -138,7 +137,7 @@
         )
         self._store_relays = StoreRelays(self._members, self._store, links, policy)
         self._store.relays = self._store_relays.relays
-        self._unattended = UnattendedEngines(
+        self._fallback_orders = FallbackEngineOrders(
             settings.node,
             boot,
             self._store,
@@ -163,7 +162,7 @@
             self._ledger,
             self._owner,
             self._store_relays,
-            self._unattended.take,
+            self._fallback_orders.accept_engine,
             self._watch_relays.answer,
             self._crashes,
             policy,
@@ -196,7 +195,7 @@
             links,
             settings.internal_port,
             self._owner.models,
-            self._unattended,
+            self._fallback_orders,
             policy,
         )
         self._owner.on_run_started.append(self._versions.refresh_for_job)
@@ -215,14 +214,14 @@
         self._configurations = Mirror(
             self._store,
             names.CONFIGURATION_KIND,
-            self._view.take_configuration,
+            self._view.apply_configuration,
             gather_s=lambda: _CONFIGURATIONS_GATHER_S,
             follow=self._watch_relays.fetch_changes,
         )
         self._instances = Mirror(
             self._store,
             names.INSTANCE_KIND,
-            self._view.take_instance,
+            self._view.apply_instance,
             gather_s=self._instances_gather_s,
             follow=self._follow_instances,
         )
@@ -240,7 +239,7 @@
             JOB_KIND: self._jobs,
             CRASH_KIND: self._crash_records.mirror,
         }
-        self._view.on_outdated.append(self._instances.hurry)
+        self._view.on_list_outdated.append(self._instances.hurry)
         self._view.on_configuration.append(self._apply_limits)
         self._view.on_configuration.append(self._owner.reconcile_all)
         register_gauges(
@@ -356,8 +355,8 @@
         while True:
             await asyncio.sleep(_HOUSEKEEPING_S)
             now_s = asyncio.get_running_loop().time()
-            self._callers.check_time(now_s)
-            self._readiness.check_time(now_s)
+            self._callers.close_timed_out(now_s)
+            self._readiness.close_timed_out(now_s)
             self._view.expire_lapsed()
 
     async def _hand_over_jobs(self, until_s: float) -> None:
@@ -386,7 +385,8 @@
         self._callers.is_leaving = True
         limit_s = begun_s + self._settings.grace_s * _GRACE_FRACTION
         await asyncio.gather(
-            self._hand_over_jobs(begun_s + _ROTATION_EXIT_S), self._unattended.leave()
+            self._hand_over_jobs(begun_s + _ROTATION_EXIT_S),
+            self._fallback_orders.release_all(),
         )
         await self._members.remove_entry(self._settings.node)
         await asyncio.sleep(max(0.0, begun_s + _ROTATION_EXIT_S - loop.time()))
--- a/pistachioglade/serving/_ingress.py
+++ b/pistachioglade/serving/_ingress.py
@@ -94,7 +94,7 @@
             return refuse(ErrorKind.BAD_REQUEST, f"{names.ATTEMPT_ID}: missing")
         if route.kind is RouteKind.ROLLOUT:
             return await self._jobs.submit_job(request, caller_id, host, route)
-        call = self._forwarder.call_for(request, caller_id, route)
+        call = self._forwarder.create_call(request, caller_id, route)
         if route.kind is RouteKind.STREAMING:
             return await self._streams.forward(call, reply)
         return await self._forwarder.forward(call)
--- a/pistachioglade/serving/_peers.py
+++ b/pistachioglade/serving/_peers.py
@@ -184,7 +184,7 @@
 
     @_dispatch.register
     async def _record_samples(self, message: SamplesRunning) -> Acknowledged:
-        self._view.note_samples(message.owner, message.by_engine)
+        self._view.record_samples(message.owner, message.by_engine)
         return Acknowledged()
 
     async def report_samples(self) -> None:
@@ -214,7 +214,7 @@
 
     @_dispatch.register
     async def _record_crashes(self, message: InstancesCrashed) -> Acknowledged:
-        self._crashes.note_reported(message.request_digest, message.instances)
+        self._crashes.record_reported(message.request_digest, message.instances)
         return Acknowledged()
 
     async def broadcast_crashes(
--- a/pistachioglade/serving/_version_announcer.py
+++ b/pistachioglade/serving/_version_announcer.py
@@ -23,7 +23,7 @@
 from ..messages import Acknowledged, EngineUnattended, Probe, VersionNamed
 from ..platform import Entry, decode_version, names
 from ..store import Mirror, StoreClient
-from ..weights import UnattendedEngines
+from ..weights import FallbackEngineOrders
 from ._members import Members
 
 _log = logger(__name__)
@@ -83,7 +83,7 @@
         links: LinkPool,
         engine_port: int,
         models_run: Callable[[], Collection[str]],
-        unattended: UnattendedEngines,
+        fallback_orders: FallbackEngineOrders,
         policy: Policy = FULL_POLICY,
     ) -> None:
         self._is_enabled = policy.uses(Mechanism.TOLD_VERSIONS)
@@ -93,7 +93,7 @@
         self._members = members
         self._links = links
         self._engine_port = engine_port
-        self._unattended = unattended
+        self._fallback_orders = fallback_orders
         # Monotonic time until which an engine program is not notified, in seconds, by
         # the engine's id.
         self._cooldown_until_s: dict[str, float] = {}
@@ -234,6 +234,6 @@
         request = EngineUnattended(instance.id, message.model, message.version)
         node = self._members.choose_fallback_entry(instance)
         if node == self._members.node:
-            self._unattended.take(request)
+            self._fallback_orders.accept_engine(request)
         elif not await notify_fallback(self._members, self._links, node, request):
             self._members.record_unreachable(node)
--- a/pistachioglade/serving/tests/test_failing_work.py
+++ b/pistachioglade/serving/tests/test_failing_work.py
@@ -83,7 +83,7 @@
         await asyncio.sleep(1.0)
         store.put(names.INSTANCE_KIND, "i-2", instance_entry("app"))
         changed_s = now_s()
-        while not program._view.may_send_to("i-2"):
+        while not program._view.accepts_requests("i-2"):
             await asyncio.sleep(0.01)
         assert now_s() - changed_s < _RESTART_DELAY_S + program._instances_gather_s()
         await asyncio.sleep(5.0)
--- a/pistachioglade/serving/tests/test_lost_way.py
+++ b/pistachioglade/serving/tests/test_lost_way.py
@@ -84,7 +84,7 @@
     relay_connection: ScriptedWay
 
     def is_in_use(self) -> bool:
-        return self.program._view.may_send_to("i-1")
+        return self.program._view.accepts_requests("i-1")
 
     async def is_used_between(self, begin_s: float, end_s: float) -> list[float]:
         """Return the times of a span at which the instance may get requests."""
@@ -280,7 +280,7 @@
         lost_s = now_s()
         await asyncio.sleep(0.1)
         scene.store.put(names.INSTANCE_KIND, "i-2", _INSTANCE)
-        while not scene.program._view.may_send_to("i-2"):
+        while not scene.program._view.accepts_requests("i-2"):
             await asyncio.sleep(0.05)
         return now_s() - lost_s
 
--- a/pistachioglade/serving/tests/test_peers.py
+++ b/pistachioglade/serving/tests/test_peers.py
@@ -156,7 +156,7 @@
     }
     configuration = {"version": 1, "routes": [route]}
     entry = Entry(names.CONFIGURATION_NAME, 1, configuration, None)
-    view.take_configuration(entry, False)
+    view.apply_configuration(entry, False)
 
 
 @pytest.mark.parametrize(
--- a/pistachioglade/weights/__init__.py
+++ b/pistachioglade/weights/__init__.py
@@ -2,13 +2,13 @@
 
 from ._engine_orders import EngineOrders, OrderStep, Progress
 from ._order_lease import LEASE_KIND, OrderLease
-from ._unattended import UnattendedEngines
+from ._unattended import FallbackEngineOrders
 
 __all__ = [
     "LEASE_KIND",
     "EngineOrders",
+    "FallbackEngineOrders",
     "OrderLease",
     "OrderStep",
     "Progress",
-    "UnattendedEngines",
 ]
--- a/pistachioglade/weights/_engine_orders.py
+++ b/pistachioglade/weights/_engine_orders.py
@@ -83,7 +83,7 @@
         # Incarnation in the engine's last report; 0 before the first report.
         self._born_ms = 0
 
-    def want(self, model: str, version: int) -> bool:
+    def record_named_version(self, model: str, version: int) -> bool:
         """Record a version that a trainer has named; return whether it is newer."""
         if version <= self._named_versions.get(model, 0):
             return False
--- a/pistachioglade/weights/_unattended.py
+++ b/pistachioglade/weights/_unattended.py
@@ -55,7 +55,7 @@
     step_lock: asyncio.Lock = attrs.field(factory=asyncio.Lock)
 
 
-class UnattendedEngines:
+class FallbackEngineOrders:
     """Orders engines that have no live process of this service beside them.
 
     Each such engine is assigned to one entry, which orders the named versions.
@@ -101,20 +101,20 @@
         # and address.
         self._last_listed_s: dict[str, dict[str, float]] = {}
 
-    def take(self, message: EngineUnattended) -> Acknowledged | Refusal:
+    def accept_engine(self, message: EngineUnattended) -> Acknowledged | Refusal:
         """Start ordering an engine, or record a newly named version for it."""
         if self._is_stopping:
             return refuse(ErrorKind.LEAVING, "this entry stops")
         engine = self._engines.get(message.instance_id)
         if engine is None:
             instance = self._view.instances.get(message.instance_id)
-            if instance is None or not self._view.may_send_to(instance.id):
+            if instance is None or not self._view.accepts_requests(instance.id):
                 return refuse(ErrorKind.NOT_FOUND, "an instance that isn't listed")
             engine = self._create_engine(instance)
             self._engines[instance.id] = engine
             self._log.info("engine-unattended", instance=instance.id)
             self._start_task("engine-orders", partial(self._run_orders, engine))
-        if engine.orders.want(message.model, message.version):
+        if engine.orders.record_named_version(message.model, message.version):
             engine.needs_step.set()
         return Acknowledged()
 
@@ -172,7 +172,7 @@
         ]
         return all(accepted)
 
-    async def leave(self) -> None:
+    async def release_all(self) -> None:
         """Release all leases and assign the engines to other entries before a stop."""
         self._is_stopping = True
         await asyncio.gather(*map(self._release, tuple(self._engines.values())))
@@ -234,7 +234,7 @@
                 await engine.needs_step.wait()
         except TimeoutError:
             return False
-        if not self._view.may_send_to(engine.instance.id):
+        if not self._view.accepts_requests(engine.instance.id):
             return False
         if await self._has_live_process(engine.instance):
             self._log.info("engine-attended-again", instance=engine.instance.id)
--- a/pistachioglade/weights/tests/test_turns.py
+++ b/pistachioglade/weights/tests/test_turns.py
@@ -171,7 +171,9 @@
     async def run(self) -> None:
         while True:
             if self.is_running:
-                self._orders.want("m", 1 + int(now_s() / VERSION_INTERVAL_S))
+                self._orders.record_named_version(
+                    "m", 1 + int(now_s() / VERSION_INTERVAL_S)
+                )
                 step = await self._orders.step()
             else:
                 step = OrderStep(Progress.CURRENT)
