--- a/pistachioglade/agent/tests/test_owner_records.py
+++ b/pistachioglade/agent/tests/test_owner_records.py
@@ -81,9 +81,9 @@
         client = stage.client(saved)
         opened = stage.open(client, current_step)
     stage.api.is_unavailable = not moment.recovers_in_time
-    client.settle()
+    client.confirm_records()
     stage.flush()
-    client.settle()
+    client.confirm_records()
     taken |= {(current_step, item.index): item.copy_id for item in opened}
     opened.close()
     stage.api.is_unavailable = False
@@ -92,7 +92,7 @@
     # were opened again.
     for _ in range(2):
         stage.flush()
-        client.settle()
+        client.confirm_records()
     assert stage.faults == []
     assert len(taken) == STEP_SAMPLES * current_step
     assert stage.api.recorded() == taken
@@ -107,7 +107,7 @@
         with stage.open(client, step) as opened:
             assert len(list(opened)) == STEP_SAMPLES
         stage.flush()
-        assert client.settle()
+        assert client.confirm_records()
 
 
 def _fetch_state(stage: Stage, step: int) -> SampleBatch | Refusal:
@@ -155,7 +155,7 @@
         with stage.open(client, step) as opened:
             assert len(list(opened)) == STEP_SAMPLES
     stage.flush()
-    client.settle()
+    client.confirm_records()
     assert {step for step, _index in stage.api.recorded()} == {2, 3}
     assert [item.state.step for item in client.checkpoint().unrecorded] == [1]
     stage.end()
--- a/pistachioglade/controllers/_membership.py
+++ b/pistachioglade/controllers/_membership.py
@@ -213,7 +213,7 @@
         }
         used = {record.address for record in self._live_peers()}
         stale = [item for item in self._pool.addresses() if item in dead - used]
-        await asyncio.gather(*map(self._pool.forget, stale))
+        await asyncio.gather(*map(self._pool.close_link, stale))
 
     async def _digests(self) -> None:
         turn = 0
--- a/pistachioglade/controllers/tests/test_membership.py
+++ b/pistachioglade/controllers/tests/test_membership.py
@@ -42,7 +42,7 @@
     def addresses(self) -> tuple[str, ...]:
         return ()
 
-    async def forget(self, address: str) -> None:
+    async def close_link(self, address: str) -> None:
         return None
 
 
--- a/pistachioglade/links/_client.py
+++ b/pistachioglade/links/_client.py
@@ -142,7 +142,7 @@
             return refuse(ErrorKind.LINK_NOT_OPEN, reason)
         return Link(connection, self.traffic)
 
-    async def forget(self, address: str) -> None:
+    async def close_link(self, address: str) -> None:
         """Close the link to an address that is not needed any more."""
         link = self._links.pop(address, None)
         self._locks.pop(address, None)
@@ -155,4 +155,4 @@
 
     async def close(self) -> None:
         """Close every link."""
-        await asyncio.gather(*map(self.forget, self.addresses()))
+        await asyncio.gather(*map(self.close_link, self.addresses()))
--- a/pistachioglade/load/_cluster.py
+++ b/pistachioglade/load/_cluster.py
@@ -194,7 +194,7 @@
                 raise ClusterError(f"waited {bound_s:.0f} s in vain: {what}")
             time.sleep(_POLL_S)
 
-    def generation_everywhere(self, generation: int) -> bool:
+    def is_in_force_everywhere(self, generation: int) -> bool:
         """Return whether every running node has at least this generation."""
         try:
             nodes = self.admin("GET", "status")["nodes"]
@@ -214,7 +214,7 @@
         generation: int = self.admin("PUT", "config", text)["generation"]
         self.wait(
             f"generation {generation} everywhere",
-            lambda: self.generation_everywhere(generation),
+            lambda: self.is_in_force_everywhere(generation),
         )
         return generation
 
--- a/pistachioglade/load/_fault_run.py
+++ b/pistachioglade/load/_fault_run.py
@@ -233,7 +233,7 @@
         try:
             self._cluster.wait(
                 "the last generation everywhere",
-                lambda: self._cluster.generation_everywhere(last_generation),
+                lambda: self._cluster.is_in_force_everywhere(last_generation),
             )
         except ClusterError as error:
             yield f"configuration: {error}"
--- a/pistachioglade/load/_trainers.py
+++ b/pistachioglade/load/_trainers.py
@@ -156,7 +156,7 @@
             if self.stopped.wait(self._plan.train_s):
                 break
             self.publish(step + 1)
-        self.client.settle(_SETTLE_BOUND_S)
+        self.client.confirm_records(_SETTLE_BOUND_S)
         self.log.run_s = time.monotonic() - started_s
 
     def _take_samples(
--- a/pistachioglade/serving/_neighbour.py
+++ b/pistachioglade/serving/_neighbour.py
@@ -110,7 +110,7 @@
             # A link that has fallen silent may never carry a message again.
             self._reopened_s = self._now_s()
             closing = asyncio.get_running_loop().create_task(
-                self._links.forget(address)
+                self._links.close_link(address)
             )
             self._probes.add(closing)
             closing.add_done_callback(self._probes.discard)
--- a/pistachioglade/standins/_fleet_instance.py
+++ b/pistachioglade/standins/_fleet_instance.py
@@ -40,7 +40,7 @@
     # Answers without the instance's signature.
     unsigned: int = 0
 
-    def take(self, name: str) -> bool:
+    def consume(self, name: str) -> bool:
         """Decrement a fault's count; return whether the request is affected."""
         remaining: int = getattr(self, name)
         if remaining > 0:
@@ -113,7 +113,7 @@
         if on_crash is not None:
             on_crash()
 
-    def start_again(self) -> None:
+    def restart(self) -> None:
         """Restart with the same id and address, initial versions and no orders."""
         for connection in tuple(self._server.connections):
             connection.close()
@@ -176,7 +176,7 @@
             load = (names.INSTANCE_LOAD, f"{self.running},0,{self.slots}")
             reply.send(Response(503, (*not_run, load)))
             return
-        if self.faults.take("refused"):
+        if self.faults.consume("refused"):
             reply.send(Response(503, not_run))
             return
         self.runs[request_id] += 1
@@ -195,15 +195,15 @@
             await asyncio.sleep(self.event_s)
             self._crash()
             return
-        if self.faults.take("silent"):
+        if self.faults.consume("silent"):
             await asyncio.sleep(3600)
-        if self.faults.take("failed"):
+        if self.faults.consume("failed"):
             self.failures[request_id] += 1
             reply.send(Response(500, ((names.ATTEMPT_ID, request_id),)))
             return
-        echoed = "another" if self.faults.take("wrong_id") else request_id
+        echoed = "another" if self.faults.consume("wrong_id") else request_id
         fields = [(names.ATTEMPT_ID, echoed)]
-        if not self.faults.take("unsigned"):
+        if not self.faults.consume("unsigned"):
             fields.append((names.SIGNATURE, f"sig-{request_id}"))
         if not self.versions:
             await asyncio.sleep(self.event_s)
@@ -226,7 +226,7 @@
             self.resumed[request_id] = int(last)
         version = self.versions[model]
         reply.begin(200, (*fields, (names.WEIGHT_VERSIONS, str(version))))
-        is_cut = self.faults.take("cut")
+        is_cut = self.faults.consume("cut")
         for number in range(first, self.events):
             await asyncio.sleep(self.event_s)
             if is_cut and number == first + 2:
@@ -245,6 +245,6 @@
     return f"{request_id}-{number}-".ljust(_EVENT_BYTES, "x")
 
 
-def whole_text(request_id: str, events: int) -> str:
+def sample_text(request_id: str, events: int) -> str:
     """Return the complete text of a sample."""
     return "\n".join(event_data(request_id, number) for number in range(events))
--- a/pistachioglade/trainer/_client.py
+++ b/pistachioglade/trainer/_client.py
@@ -125,7 +125,7 @@
             )
             return TrainerCheckpoint(self._newest_version, steps, unrecorded)
 
-    def settle(self, bound_s: float = 0.0) -> bool:
+    def confirm_records(self, bound_s: float = 0.0) -> bool:
         """Return whether the records of all closed steps are confirmed.
 
         A step's owner may fail between the last receipt and the write of its record,
@@ -242,7 +242,7 @@
         result = self._client._entries.post(path, fields, timeout_s, patience_s)
         if isinstance(result, Refusal):
             return result
-        self._receipts.acknowledged(receipts, ())
+        self._receipts.mark_acknowledged(receipts, ())
         return None
 
     def __iter__(self) -> Iterator[Sample]:
@@ -267,7 +267,7 @@
     def _offer(self, sample: Sample) -> Verdict:
         client = self._client
         with client._lock:
-            verdict = self._receipts.offer(
+            verdict = self._receipts.offer_sample(
                 sample,
                 client.newest_version,
                 client._settings.staleness_bound_versions,
@@ -314,5 +314,5 @@
         result = self._client._entries.post(path, fields, timeout_s, patience_s)
         if isinstance(result, Refusal):
             return result
-        self._receipts.acknowledged(receipts, rejected)
+        self._receipts.mark_acknowledged(receipts, rejected)
         return structure(result, SampleBatch)
--- a/pistachioglade/trainer/_receipts.py
+++ b/pistachioglade/trainer/_receipts.py
@@ -35,7 +35,7 @@
         """Return every receipt, ordered by index."""
         return tuple(self._receipts[index] for index in sorted(self._receipts))
 
-    def offer(
+    def offer_sample(
         self, sample: Sample, newest_version: int, bound_versions: int, age_s: float
     ) -> Verdict:
         """Take a sample unless its index was taken before or its text is too stale."""
@@ -67,7 +67,7 @@
         """Return the indices of stale samples since the last acknowledgement."""
         return tuple(sorted(self._rejected))
 
-    def acknowledged(
+    def mark_acknowledged(
         self, receipts: Iterable[Receipt], rejected: Iterable[int]
     ) -> None:
         """Mark receipts and rejections as acknowledged by an owner."""
--- a/pistachioglade/trainer/tests/test_client.py
+++ b/pistachioglade/trainer/tests/test_client.py
@@ -59,7 +59,7 @@
     entry.received = None
     entry.writes = True
     again = _client(entry, TrainerCheckpoint.from_json(saved))
-    again.settle(5.0)
+    again.confirm_records(5.0)
     assert entry.received == {0}
     assert again.checkpoint() == TrainerCheckpoint()
 
--- a/pistachioglade/trainer/tests/test_receipts.py
+++ b/pistachioglade/trainer/tests/test_receipts.py
@@ -15,24 +15,24 @@
 
 def test_a_sample_is_stale_after_a_newer_version_is_published() -> None:
     receipts = StepReceipts(2)
-    assert receipts.offer(_sample(0), 2, 1, 0.0) is Verdict.TAKEN
-    assert receipts.offer(_sample(1), 3, 1, 0.0) is Verdict.TOO_STALE
+    assert receipts.offer_sample(_sample(0), 2, 1, 0.0) is Verdict.TAKEN
+    assert receipts.offer_sample(_sample(1), 3, 1, 0.0) is Verdict.TOO_STALE
     assert receipts.rejected() == (1,)
 
 
 def test_staleness_is_measured_by_the_oldest_span() -> None:
     spans = (VersionSpan(1, 1), VersionSpan(3, 99))
     mixed = Sample(0, "c", "t", spans, "a", "e")
-    assert StepReceipts(1).offer(mixed, 3, 1, 0.0) is Verdict.TOO_STALE
+    assert StepReceipts(1).offer_sample(mixed, 3, 1, 0.0) is Verdict.TOO_STALE
 
 
 def test_the_receipt_of_a_duplicate_is_sent_again() -> None:
     receipts = StepReceipts(1)
-    receipts.offer(_sample(0), 1, 0, 0.0)
+    receipts.offer_sample(_sample(0), 1, 0, 0.0)
     sent = receipts.unsent()
-    receipts.acknowledged(sent, ())
+    receipts.mark_acknowledged(sent, ())
     assert receipts.unsent() == ()
-    assert receipts.offer(_sample(0, copy="d"), 1, 0, 0.0) is Verdict.DUPLICATE
+    assert receipts.offer_sample(_sample(0, copy="d"), 1, 0, 0.0) is Verdict.DUPLICATE
     assert receipts.unsent() == sent
 
 
@@ -42,7 +42,8 @@
     taken = [
         index
         for index, version, newest in offers
-        if receipts.offer(_sample(index, version), newest, 1, 0.0) is Verdict.TAKEN
+        if receipts.offer_sample(_sample(index, version), newest, 1, 0.0)
+        is Verdict.TAKEN
     ]
     assert len(taken) == len(set(taken))
     assert {receipt.index for receipt in receipts.all()} == set(taken)
@@ -51,6 +52,6 @@
 
 def test_a_checkpoint_is_unchanged_after_saving_and_loading() -> None:
     receipts = StepReceipts(2)
-    receipts.offer(_sample(1), 1, 0, 0.5)
+    receipts.offer_sample(_sample(1), 1, 0, 0.5)
     saved = TrainerCheckpoint(4, (StepCheckpoint(9, 1.5, receipts.all()),))
     assert TrainerCheckpoint.from_json(saved.to_json()) == saved
--- a/pistachioglade/trainer/tests/test_unrecorded.py
+++ b/pistachioglade/trainer/tests/test_unrecorded.py
@@ -143,7 +143,7 @@
     saved = client.checkpoint()
     entry.is_healthy = True
     entry.released.set()
-    assert client.settle(_BOUND_S)
+    assert client.confirm_records(_BOUND_S)
     assert client.checkpoint().unrecorded == ()
     again = _client(entry, saved)
-    assert again.settle(_BOUND_S)
+    assert again.confirm_records(_BOUND_S)
--- a/soak/_trainers.py
+++ b/soak/_trainers.py
@@ -11,7 +11,7 @@
 
 from pistachioglade.http1 import Pool, Response
 from pistachioglade.platform import names
-from pistachioglade.standins._fleet_instance import whole_text
+from pistachioglade.standins._fleet_instance import sample_text
 from tests.serving import HOST, JOBS, submission
 
 from ._world import EVENTS, MODEL, Program, World
@@ -172,7 +172,7 @@
             world.counts["given up"] += 1
             return
         world.counts["sample"] += 1
-        if result["output-text"] != whole_text(item, EVENTS):
+        if result["output-text"] != sample_text(item, EVENTS):
             world.record_violation(f"{what} has not its whole text")
         if result["score"] != f"sig-{reward}":
             world.record_violation(f"{what} has another's score")
--- a/tests/other_build.py
+++ b/tests/other_build.py
@@ -25,7 +25,7 @@
 import click
 
 from pistachioglade.platform import names
-from pistachioglade.standins._fleet_instance import FleetInstance, whole_text
+from pistachioglade.standins._fleet_instance import FleetInstance, sample_text
 from pistachioglade.store.tests.served import served_store
 from soak._relay import Relay, RelayMode
 
@@ -126,7 +126,7 @@
     for result in results:
         item = str(result["id"])
         _expect(result["state"] == "completed", f"{job_id}: {result}")
-        _expect(result["output-text"] == whole_text(item, events), f"{item}: text")
+        _expect(result["output-text"] == sample_text(item, events), f"{item}: text")
         score = f"sig-{item.replace('item', 'reward')}"
         _expect(result["score"] == score, f"{item}: score {result['score']}")
     return results
--- a/tests/scenario/_checking.py
+++ b/tests/scenario/_checking.py
@@ -40,7 +40,7 @@
             case ["engines", "hold", model]:
                 return self._engines_hold(model)
             case ["all", "nodes", "in", "force"]:
-                return self.cluster.generation_everywhere(max(self._generations))
+                return self.cluster.is_in_force_everywhere(max(self._generations))
             case [node, "is", state]:
                 return self._state_of(node) == state
             case [service, "runs", "something"]:
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -12,7 +12,7 @@
 
 from pistachioglade.jobs import TEXT_KIND
 from pistachioglade.platform import names
-from pistachioglade.standins._fleet_instance import FleetInstance, whole_text
+from pistachioglade.standins._fleet_instance import FleetInstance, sample_text
 
 from .serving import (
     JOBS,
@@ -107,7 +107,7 @@
     for result in results:
         item = str(result["id"])
         assert result["state"] == "completed", result
-        assert result["output-text"] == whole_text(item, events)
+        assert result["output-text"] == sample_text(item, events)
         assert result["score"] == f"sig-{item.replace('item', 'reward')}"
         assert result["weight-versions"]
 
--- a/tests/test_serving_changes.py
+++ b/tests/test_serving_changes.py
@@ -17,7 +17,7 @@
 from pistachioglade.http1 import HttpServer, Reply, Request, ServerLimits
 from pistachioglade.jobs import JOB_KIND, Submission, encode_submission
 from pistachioglade.platform import names
-from pistachioglade.standins._fleet_instance import FleetInstance, whole_text
+from pistachioglade.standins._fleet_instance import FleetInstance, sample_text
 
 from .serving import (
     JOBS,
@@ -170,7 +170,7 @@
         await fleet.configure(configuration(3))
         results = await fleet.read_results(entry, "job-1", 2)
         assert {result["state"] for result in results} == {"completed"}
-        assert results[0]["output-text"] == whole_text(results[0]["id"], 6)
+        assert results[0]["output-text"] == sample_text(results[0]["id"], 6)
 
     run_case(tmp_path, case)
 
--- a/tests/test_serving_foreign.py
+++ b/tests/test_serving_foreign.py
@@ -84,7 +84,7 @@
         while not all(engine.running for engine in engines):
             await asyncio.sleep(0.02)
         restarted, other = engines
-        restarted.start_again()
+        restarted.restart()
         writer = fleet.store.client()
         await writer.replace(names.INSTANCE_KIND, restarted.id, restarted.entry(), None)
         await _wait_for_event(fleet, "instance-restarted")
