--- a/pistachioglade/load/_cluster.py
+++ b/pistachioglade/load/_cluster.py
@@ -1,7 +1,6 @@
 """Starts and stops the processes of a deployment on loopback addresses.
 
-Only the demo, the load tool and tests use this module; the service's own programs
-start no processes.
+Only the demo, the load tool and tests use it; the service's own programs start none.
 """
 
 from __future__ import annotations
@@ -184,10 +183,8 @@
         raise ClusterError(f"{method} {path}: {last}")
 
     def wait(self, what: str, is_so: Callable[[], bool], bound_s: float = 60.0) -> None:
-        """Wait until ``is_so`` returns true; raises ClusterError after ``bound_s``.
-
-        The default bound is large for slow machines.
-        """
+        """Wait until ``is_so`` returns true; raises ClusterError after ``bound_s``."""
+        # The default bound is large for slow machines.
         deadline_s = time.monotonic() + bound_s
         while not is_so():
             if time.monotonic() > deadline_s:
--- a/pistachioglade/serving/_entry_program.py
+++ b/pistachioglade/serving/_entry_program.py
@@ -200,12 +200,7 @@
         self._owner.on_run_started.append(self._versions.refresh_for_job)
         self._link_server = LinkServer(identity, self._peers.answer)
         calls = JobCalls(
-            self._owner,
-            self._ledger,
-            self._store,
-            reader,
-            self._peers,
-            self._members,
+            self._owner, self._ledger, self._store, reader, self._peers, self._members
         )
         ingress = Ingress(self._view, self._forwarder, streams, calls, metrics)
         self._callers = HttpServer(ingress.handle, ServerLimits())
--- a/pistachioglade/serving/_peers.py
+++ b/pistachioglade/serving/_peers.py
@@ -376,13 +376,11 @@
             outcome=stored.reason if isinstance(stored, Refusal) else "written",
         )
         if isinstance(stored, Entry):
-            notified = {owner, state.owner, *self._members.owner_names}
+            owners = {owner, state.owner, *self._members.owner_names}
             self._ledger.apply_entry(stored, False)
             # Every entry is notified: its readers ask the owner that it knows of, and
             # its watch may be late.
-            await asyncio.gather(
-                *(self.notify_owner(name, stored) for name in notified)
-            )
+            await asyncio.gather(*(self.notify_owner(name, stored) for name in owners))
 
     async def hand_over_jobs(self) -> bool:
         """Hand over this entry's jobs before a planned stop; return whether all went.
--- a/pistachioglade/store/_client.py
+++ b/pistachioglade/store/_client.py
@@ -159,10 +159,8 @@
     def _record_unanswered(
         self, call: StoreCall, answer: Response | Refusal, begun_s: float
     ) -> None:
-        """Record that a route did not answer, before the next route is tried.
-
-        Each route may take the full timeout, so the store may have recovered meanwhile.
-        """
+        """Record that a route did not answer, before the next route is tried."""
+        # Each route may take the full timeout: the store may have recovered meanwhile.
         if _is_answered(answer):
             return
         now_s = asyncio.get_running_loop().time()
@@ -190,12 +188,10 @@
     ) -> None:
         """Read a small object, which may be absent, while no other call is answered."""
         while True:
-            normal_s = interval_s()
-            await asyncio.sleep(
-                normal_s if self.is_directly_reachable else _OUTAGE_BEAT_S
-            )
+            gap_s = interval_s()
+            await asyncio.sleep(gap_s if self.is_directly_reachable else _OUTAGE_BEAT_S)
             answered_s = self.direct_answered_s or 0.0
-            if asyncio.get_running_loop().time() - answered_s >= normal_s / 2:
+            if asyncio.get_running_loop().time() - answered_s >= gap_s / 2:
                 call = read_call(kind, name, may_be_stale=True)
                 routes = chain((self.call_directly,), self._relayed.routes())
                 await self._call_each(routes, call, self._retryable_timeout_s)
@@ -276,10 +272,10 @@
         is_write = call.method != "GET"
         answer = await self.exchange(call, timeout_s)
         if isinstance(answer, Refusal):
-            is_uncertain = is_write and not answer.did_not_run
+            in_doubt = is_write and not answer.did_not_run
             kind = (
                 ErrorKind.PLATFORM_UNCERTAIN
-                if is_uncertain
+                if in_doubt
                 else ErrorKind.PLATFORM_UNAVAILABLE
             )
             return refuse(kind, answer.reason)
@@ -338,7 +334,7 @@
         call = create_call(kind, name, value)
         try_time = try_time or AdaptiveTimeout()
         deadline_s = asyncio.get_running_loop().time() + within_s
-        is_uncertain = False
+        in_doubt = False
         while True:
             begun_s = asyncio.get_running_loop().time()
             timeout_s = try_time.timeout_s(self._retryable_timeout_s)
@@ -361,14 +357,12 @@
                 return _entry(answer)
             if refusal.kind in (ErrorKind.TOO_LARGE, ErrorKind.BAD_REQUEST):
                 return refusal
-            is_uncertain = is_uncertain or not refusal.did_not_run
+            in_doubt = in_doubt or not refusal.did_not_run
             if asyncio.get_running_loop().time() + _RETRY_PAUSE_S > deadline_s:
                 break
             await asyncio.sleep(_RETRY_PAUSE_S)
         final_kind = (
-            ErrorKind.PLATFORM_UNCERTAIN
-            if is_uncertain
-            else ErrorKind.PLATFORM_UNAVAILABLE
+            ErrorKind.PLATFORM_UNCERTAIN if in_doubt else ErrorKind.PLATFORM_UNAVAILABLE
         )
         return refuse(final_kind, refusal.reason)
 
--- a/tests/other_build.py
+++ b/tests/other_build.py
@@ -57,8 +57,7 @@
 _UNREADABLE: Final = re.compile(
     r"unreadable|nameless|misplaced|record-unknown|bad_frame|not-taken"
     r"|(link|configuration|(?<!fallback-)entry|instance|version|crash-record)"
-    r"[.-]refused"
-    r"|(task|work|handler)[-_]?failed|task\.failed"
+    r"[.-]refused|(task|work|handler)[-_]?failed|task\.failed"
 )
 
 
